--- a/src/coordination/fleetword.cpp
+++ b/src/coordination/fleetliveness.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "coordination/fleetword.h"
+#include "coordination/fleetliveness.h"
 
 #include "coordination/gossipplan.h"
 #include "coordination/tokenbucket.h"
@@ -18,27 +18,27 @@
 	2; ///< Rounds in which a process that runs does something, whatever its timers do.
 } // namespace
 
-void FleetWord::setMembers(std::size_t _members)
+void FleetLiveness::setMembers(std::size_t _members)
 {
 	m_members = std::max<std::size_t>(1, _members);
 }
 
-Micros FleetWord::silence() const
+Micros FleetLiveness::silence() const
 {
 	return std::max(kSilence, 2 * GossipPlan::hearingSpan(m_members));
 }
 
-void FleetWord::onTime(Micros _now)
+void FleetLiveness::onTime(Micros _now)
 {
 	m_stall.onTime(_now, kRoundsRunning * GossipPlan::roundSpan(m_members));
 }
 
-Micros FleetWord::silentSince(const Word& _word) const
+Micros FleetLiveness::silentSince(const Word& _word) const
 {
 	return std::max(_word.proved, m_stall.woke());
 }
 
-void FleetWord::onHeard(const std::string& _source, Micros _now, Micros _proved, std::size_t _gateways)
+void FleetLiveness::onHeard(const std::string& _source, Micros _now, Micros _proved, std::size_t _gateways)
 {
 	Word& word = m_heard[_source];
 	word.proved = std::max(word.proved, std::min(_proved, _now));
@@ -49,14 +49,14 @@
 	m_mostHeard = std::max(m_mostHeard, gatewaysHeard(_now));
 }
 
-bool FleetWord::replacesAnother(const std::string& _group, const std::string& _source) const
+bool FleetLiveness::replacesAnother(const std::string& _group, const std::string& _source) const
 {
 	const auto collector = m_collectors.find(_group);
 	return collector != m_collectors.end() && collector->second != _source && m_heard.count(collector->second) != 0;
 }
 
-std::optional<Micros> FleetWord::onSums(const std::string& _group, const std::string& _source, Micros _now,
-										Micros _proved, std::size_t _gateways)
+std::optional<Micros> FleetLiveness::onSums(const std::string& _group, const std::string& _source, Micros _now,
+											Micros _proved, std::size_t _gateways)
 {
 	const std::string before = std::exchange(m_collectors[_group], _source);
 	const auto word = m_heard.find(before);
@@ -72,7 +72,7 @@
 	return unreported;
 }
 
-std::optional<Micros> FleetWord::unheardSince(const std::string& _source, Micros _now) const
+std::optional<Micros> FleetLiveness::unheardSince(const std::string& _source, Micros _now) const
 {
 	const auto word = m_heard.find(_source);
 	const bool inGap = m_lastWord != kLongAgo && age(_now) > kGap;
@@ -83,14 +83,14 @@
 	return word->second.proved;
 }
 
-double FleetWord::shareOf(const std::string& _source) const
+double FleetLiveness::shareOf(const std::string& _source) const
 {
 	const auto word = m_heard.find(_source);
 	const std::size_t gateways = word == m_heard.end() ? 1 : word->second.gateways;
 	return std::min(1.0, static_cast<double>(gateways) / static_cast<double>(m_members));
 }
 
-std::size_t FleetWord::gatewaysHeard(Micros _now) const
+std::size_t FleetLiveness::gatewaysHeard(Micros _now) const
 {
 	std::size_t heard = 1;
 	for (const auto& [source, word] : m_heard)
@@ -100,14 +100,14 @@
 	return heard;
 }
 
-double FleetWord::silentShare(Micros _now) const
+double FleetLiveness::silentShare(Micros _now) const
 {
 	const std::size_t heard = gatewaysHeard(_now);
 	const std::size_t members = std::max(m_members, heard);
 	return static_cast<double>(members - heard) / static_cast<double>(members);
 }
 
-double FleetWord::secondsLeftTo(const std::string& _source, Micros _now) const
+double FleetLiveness::secondsLeftTo(const std::string& _source, Micros _now) const
 {
 	const auto word = m_heard.find(_source);
 	if (word == m_heard.end())
@@ -121,7 +121,7 @@
 	return secondsOf(silent) * static_cast<double>(word->second.gateways) / static_cast<double>(m_members);
 }
 
-FleetTrust FleetWord::trust(Micros _now) const
+FleetTrust FleetLiveness::trust(Micros _now) const
 {
 	if (m_members <= 1)
 	{
@@ -142,7 +142,7 @@
 	return justWoke ? FleetTrust::Awaited : FleetTrust::Lost;
 }
 
-Micros FleetWord::age(Micros _now) const
+Micros FleetLiveness::age(Micros _now) const
 {
 	return m_lastWord == kLongAgo ? kNever : _now - m_lastWord;
 }
--- a/src/coordination/fleetword.h
+++ b/src/coordination/fleetliveness.h
@@ -4,8 +4,8 @@
 /// @file
 /// Of which gateways there is word, and since when.
 
-#ifndef BEACONGATE_COORDINATION_FLEETWORD_H
-#define BEACONGATE_COORDINATION_FLEETWORD_H
+#ifndef BEACONGATE_COORDINATION_FLEETLIVENESS_H
+#define BEACONGATE_COORDINATION_FLEETLIVENESS_H
 
 #include "beacongate/types.h"
 #include "coordination/stalldetector.h"
@@ -30,7 +30,7 @@
 /// read: what waited in a socket while this process stood still, or while datagrams were lost, proves nothing of
 /// the present. That covers alike a gateway that stood still, one that hears nothing, one that is not heard, and
 /// one whose collector does not answer.
-class FleetWord
+class FleetLiveness
 {
 public:
 	/// A source that was silent for longer is taken for cut off; in larger fleets, for twice the span in which a
@@ -137,4 +137,4 @@
 
 } // namespace beacongate
 
-#endif // BEACONGATE_COORDINATION_FLEETWORD_H
+#endif // BEACONGATE_COORDINATION_FLEETLIVENESS_H
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -98,7 +98,7 @@
 	{
 		// Nothing was taken before, and all that the others take will be told. Until they are heard, a gateway goes
 		// by its equal share, which begins with a part of the burst.
-		const double part = (1.0 - kStartShare) / static_cast<double>(m_word.members());
+		const double part = (1.0 - kStartShare) / static_cast<double>(m_liveness.members());
 		_team.own.record(_access.burst * part, _now);
 		return;
 	}
@@ -112,7 +112,7 @@
 	const double level = kept == m_keptLevels.end() ? 0.0 : static_cast<double>(kept->second);
 	// All may have been restarted at once, and each would take the whole of it until it hears the others: 11.21 of
 	// 11.03 million tokens, 10.82 where they share it (quotarestarttest).
-	return kKeptShare * std::min(level, _team.burst) / static_cast<double>(m_word.members());
+	return kKeptShare * std::min(level, _team.burst) / static_cast<double>(m_liveness.members());
 }
 
 double QuotaLedger::startTakings(const TeamAccess& _team) const
@@ -141,22 +141,22 @@
 
 void QuotaLedger::setMembers(std::size_t _members)
 {
-	m_word.setMembers(_members);
+	m_liveness.setMembers(_members);
 }
 
 void QuotaLedger::onTime(Micros _now)
 {
-	m_word.onTime(_now);
+	m_liveness.onTime(_now);
 }
 
 double QuotaLedger::hearingSpan() const
 {
-	return secondsOf(GossipPlan::hearingSpan(m_word.members()));
+	return secondsOf(GossipPlan::hearingSpan(m_liveness.members()));
 }
 
 bool QuotaLedger::alone(Micros _now) const
 {
-	return settling(_now) || m_word.trust(_now) == FleetTrust::Lost;
+	return settling(_now) || m_liveness.trust(_now) == FleetTrust::Lost;
 }
 
 bool QuotaLedger::settling(Micros _now) const
@@ -164,7 +164,7 @@
 	if (m_firstStart)
 	{
 		// Who else there is may not be known yet: a gateway that has just started knows of itself alone.
-		return m_word.members() <= 1 && _now - m_started < kMembersKnown;
+		return m_liveness.members() <= 1 && _now - m_started < kMembersKnown;
 	}
 	return !m_adopted && _now - m_started < kSettling;
 }
@@ -174,7 +174,7 @@
 	std::vector<QuotaLevel> levels;
 	// One that began with all others has heard of everything, one that was told goes on from there.
 	const bool sinceStart = m_firstStart || m_adopted || _now - m_started > TokenBucket::kHistory;
-	const bool knows = sinceStart && m_word.trust(_now) == FleetTrust::Whole;
+	const bool knows = sinceStart && m_liveness.trust(_now) == FleetTrust::Whole;
 	for (const auto& [name, team] : m_teams)
 	{
 		if (knows && team.bucket.limited())
@@ -207,7 +207,7 @@
 {
 	// All ask as much more than they take as is the case here.
 	const double refusedTimes = _team.rate.refusedTimes(kPriorRequests * _amount, _now);
-	return (_team.rate.others(m_word.last()) + _team.rate.own(_now)) * refusedTimes;
+	return (_team.rate.others(m_liveness.last()) + _team.rate.own(_now)) * refusedTimes;
 }
 
 double QuotaLedger::admittedPart(const Team& _team, double _level, double _amount, Micros _now) const
@@ -225,13 +225,13 @@
 
 double QuotaLedger::secondsLate(Micros _now) const
 {
-	const Micros age = std::min(m_word.age(_now), m_word.silence());
+	const Micros age = std::min(m_liveness.age(_now), m_liveness.silence());
 	return std::max(0.0, secondsOf(age) - kMeanDelay * hearingSpan());
 }
 
 double QuotaLedger::unheard(const Team& _team, Micros _now) const
 {
-	const double others = _team.rate.others(m_word.last());
+	const double others = _team.rate.others(m_liveness.last());
 	const double usual = kMeanDelay * hearingSpan();
 	// Half of it suffices for a team that is refused nothing here: held back whole, a team that asks for 0.6 of its
 	// limit was refused up to 3 in 1,000 requests as a third of the gateways went on after a stall
@@ -245,7 +245,7 @@
 {
 	Standing standing;
 	standing.alone = alone(_now);
-	standing.own = _team.own.level(_now, 1.0 / static_cast<double>(m_word.members()));
+	standing.own = _team.own.level(_now, 1.0 / static_cast<double>(m_liveness.members()));
 	const double known = _team.bucket.level(_now);
 	// What is left to silent gateways is recorded as taken: nothing more has to be held back for them.
 	const double shared = known - (standing.alone ? 0.0 : unheard(_team, _now));
@@ -257,7 +257,7 @@
 {
 	const Micros since = _team.advanced;
 	_team.advanced = _now;
-	const double share = m_word.silentShare(_now);
+	const double share = m_liveness.silentShare(_now);
 	if (since != kLongAgo && share > 0.0)
 	{
 		// Who is silent now need not have been so for long.
@@ -288,14 +288,14 @@
 {
 	// Who hears nothing is not heard either, as far as it knows, however long that lasts.
 	const double sinceWord = _team.words == m_words ? _team.takenSinceWord : 0.0;
-	const Micros spanStart = _now - GossipPlan::hearingSpan(m_word.members());
+	const Micros spanStart = _now - GossipPlan::hearingSpan(m_liveness.members());
 	return std::max(_team.own.takenSince(spanStart), sinceWord);
 }
 
 bool QuotaLedger::exceedsPart(const Team& _team, const Standing& _standing, double _amount, Micros _now) const
 {
 	// One that goes by its equal share is bounded by that already.
-	if (m_word.members() <= 1 || _standing.alone)
+	if (m_liveness.members() <= 1 || _standing.alone)
 	{
 		return false;
 	}
@@ -303,7 +303,7 @@
 	const double here = takenLately(_team, _now);
 	// What all may take before they hear of each other, were none of them to have taken anything of it yet.
 	const double all = std::max(0.0, _standing.level) + here + _team.bucket.rate() * span;
-	const double part = kMostParts * all / static_cast<double>(m_word.members());
+	const double part = kMostParts * all / static_cast<double>(m_liveness.members());
 	// Requests differ in size. A large one passes where nothing else did of late; measured by its own size, four of
 	// them passed at each gateway.
 	const double mean = _team.rate.meanAmount();
@@ -325,16 +325,16 @@
 		return {};
 	}
 	onTime(_now);
-	if (m_word.trust(_now) == FleetTrust::Awaited)
+	if (m_liveness.trust(_now) == FleetTrust::Awaited)
 	{
 		// What the others took meanwhile is told within moments. Decided before, a third of 77 gateways that stood
 		// still let through what came meanwhile by the level of before, and were refused what the level of now
 		// allows (quotastalltest).
-		return {QuotaBound::Unproved, FleetWord::kAwaited};
+		return {QuotaBound::Unproved, FleetLiveness::kAwaited};
 	}
 	recordSilentShare(team, _now);
 	const Standing standing = standingOf(team, _now);
-	const bool crowd = GossipPlan::usesCollectors(m_word.members()) && !standing.alone;
+	const bool crowd = GossipPlan::usesCollectors(m_liveness.members()) && !standing.alone;
 	const double admittedBefore = team.admitted;
 	team.admitted += crowd ? admittedPart(team, standing.level, _amount, _now) : 0.0;
 	// Any request passes while something is left, and what it takes beyond that is owed: a bucket that is nearly
@@ -435,7 +435,7 @@
 	{
 		if (team.bucket.limited())
 		{
-			const double all = team.rate.others(m_word.last()) + team.rate.own(_now);
+			const double all = team.rate.others(m_liveness.last()) + team.rate.own(_now);
 			views.push_back({name, team.bucket.level(_now), team.takenHere, all});
 		}
 	}
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -9,7 +9,7 @@
 
 #include "beacongate/routing.h"
 #include "beacongate/types.h"
-#include "coordination/fleetword.h"
+#include "coordination/fleetliveness.h"
 #include "coordination/quotagrant.h"
 #include "coordination/tokenbucket.h"
 #include "coordination/usagerate.h"
@@ -134,9 +134,9 @@
 	std::map<std::string, std::uint64_t> levels(Micros _now) const;
 
 	/// @returns of whom there is word.
-	const FleetWord& word() const
+	const FleetLiveness& liveness() const
 	{
-		return m_word;
+		return m_liveness;
 	}
 
 	/// @returns what a gateway that has just started is told of the teams' buckets; nothing where this one does not
@@ -328,7 +328,7 @@
 	std::map<std::string, std::uint64_t> m_keptLevels;
 	std::map<std::string, Team> m_teams;
 	std::map<std::string, std::map<std::string, PeerCount>> m_peerCounts;
-	FleetWord m_word;
+	FleetLiveness m_liveness;
 	std::uint64_t m_words = 0;    ///< That were heard.
 	std::vector<QuotaGap> m_gaps; ///< One for each team at most until taken.
 	Micros m_started = kNever;    ///< When it was first configured.
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -22,7 +22,7 @@
 
 double QuotaLedger::unheardOfOthers(const Team& _team, Micros _now) const
 {
-	return _team.rate.others(m_word.last()) * (kMeanDelay * hearingSpan() + secondsLate(_now));
+	return _team.rate.others(m_liveness.last()) * (kMeanDelay * hearingSpan() + secondsLate(_now));
 }
 
 double QuotaLedger::requestsPerSecond(const Team& _team, double _mean)
@@ -51,17 +51,17 @@
 	onTime(_now);
 	Team& team = it->second;
 	const double mean = team.rate.meanAmount() > 0.0 ? team.rate.meanAmount() : _amount;
-	if (m_word.members() <= 1 || !isGranted(team, mean))
+	if (m_liveness.members() <= 1 || !isGranted(team, mean))
 	{
 		return QuotaRule::Local;
 	}
-	if (settling(_now) || m_word.trust(_now) != FleetTrust::Whole)
+	if (settling(_now) || m_liveness.trust(_now) != FleetTrust::Whole)
 	{
 		// It need not know what is left, as long as it reaches one that does.
 		return QuotaRule::Granted;
 	}
 	recordSilentShare(team, _now);
-	const double share = std::max(0.0, standingOf(team, _now).level) / static_cast<double>(m_word.members());
+	const double share = std::max(0.0, standingOf(team, _now).level) / static_cast<double>(m_liveness.members());
 	return takenLately(team, _now) + _amount <= share ? QuotaRule::Share : QuotaRule::Granted;
 }
 
@@ -103,9 +103,9 @@
 	onTime(_now);
 	// A limit that is not known here may be in force there.
 	const bool knowsLimit = it != m_teams.end() && it->second.bucket.limited();
-	if (!knowsLimit || settling(_now) || m_word.trust(_now) != FleetTrust::Whole)
+	if (!knowsLimit || settling(_now) || m_liveness.trust(_now) != FleetTrust::Whole)
 	{
-		const bool soon = knowsLimit && m_word.wokeWithin(kHeardAgain, _now);
+		const bool soon = knowsLimit && m_liveness.wokeWithin(kHeardAgain, _now);
 		return {soon ? GrantOutcome::Later : GrantOutcome::Unable, 0};
 	}
 	Team& team = it->second;
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -423,8 +423,8 @@
 	CapacityPlanner::Observation seen;
 	seen.work = work;
 	// One that does not hear of most gateways does not know the load, and keeps what stands.
-	const FleetWord& word = m_context.quotas.word();
-	const bool hearsMost = word.trust(_now) == FleetTrust::Whole && word.silentShare(_now) < kMostSilent;
+	const FleetLiveness& liveness = m_context.quotas.liveness();
+	const bool hearsMost = liveness.trust(_now) == FleetTrust::Whole && liveness.silentShare(_now) < kMostSilent;
 	seen.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	seen.firstStart = m_context.settings.firstStart;
 	seen.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -224,8 +224,9 @@
 	metrics.setGauge("beacongate_backend_records_refused",
 					 static_cast<double>(m_context.backendRecords.refusals()));
 	metrics.setGauge("beacongate_members", static_cast<double>(m_context.peers.memberCount(now)));
-	metrics.setGauge("beacongate_gateways_heard", static_cast<double>(m_context.quotas.word().gatewaysHeard(now)));
-	const Micros wordAge = m_context.quotas.word().age(now);
+	metrics.setGauge("beacongate_gateways_heard",
+					 static_cast<double>(m_context.quotas.liveness().gatewaysHeard(now)));
+	const Micros wordAge = m_context.quotas.liveness().age(now);
 	metrics.setGauge("beacongate_quota_word_age_seconds", wordAge == kNever ? -1.0 : secondsOf(wordAge));
 	const QuotaAskCounts& asks = m_context.admission.counts();
 	metrics.setGauge("beacongate_quota_asks_granted", static_cast<double>(asks.granted));
--- a/src/gateway/gatewaystate.cpp
+++ b/src/gateway/gatewaystate.cpp
@@ -69,7 +69,7 @@
 					 {"holdsDuties", _holdsDuties},
 					 {"members", _context.peers.memberCount(now)},
 					 {"readingTokensPerSecond", _context.engines.speeds()},
-					 {"gatewaysHeard", _context.quotas.word().gatewaysHeard(now)},
+					 {"gatewaysHeard", _context.quotas.liveness().gatewaysHeard(now)},
 					 {"quotas", describeQuotas(_context, now)},
 					 {"backends", describeBackends(_context, now)},
 					 {"peers", describePeers(_context, now)}};
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -189,7 +189,7 @@
 				  {"gap_ms", millisText(gap.gap)},
 				  {"taken", std::to_string(static_cast<std::int64_t>(gap.taken))},
 				  {"level", std::to_string(static_cast<std::int64_t>(gap.levelBefore))},
-				  {"heard", std::to_string(m_context.quotas.word().gatewaysHeard(monotonicNow()))}});
+				  {"heard", std::to_string(m_context.quotas.liveness().gatewaysHeard(monotonicNow()))}});
 	}
 }
 
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -165,7 +165,7 @@
 {
 	// The collector before has told what this one counted too. Taken for news, everything that was taken since the
 	// start of a young fleet counted twice: a level of -78 requests where the burst is 60 (soak of 18 gateways).
-	return m_context.quotas.word().replacesAnother(_group, _source) ? kNever : _uptime;
+	return m_context.quotas.liveness().replacesAnother(_group, _source) ? kNever : _uptime;
 }
 
 void Gossiper::takeCounters(const std::string& _source, const GossipMessage& _message, Micros _uptime, Micros _now)
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -566,7 +566,7 @@
 	void takeCounters(Gateway& _gateway, const std::string& _group, const std::string& _source,
 					  const GossipMessage& _message)
 	{
-		const Micros uptime = _gateway.ledger.word().replacesAnother(_group, _source) ? kNever : m_now;
+		const Micros uptime = _gateway.ledger.liveness().replacesAnother(_group, _source) ? kNever : m_now;
 		for (const QuotaReport& quota : _message.quotas)
 		{
 			_gateway.ledger.onReport(_source, 1, quota, m_now, uptime);
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -121,7 +121,7 @@
 /// What waited in the socket while a gateway stood still, or comes late, proves nothing of the present.
 TEST(QuotaStall, wordsCountByWhatTheyAnswer)
 {
-	FleetWord word;
+	FleetLiveness word;
 	word.setMembers(3);
 	const Micros start = kSecond;
 	word.onTime(start);
@@ -137,7 +137,7 @@
 	EXPECT_EQ(word.silentShare(woke), 0.0) << "that they were not heard says nothing of them";
 	word.onHeard("a", woke, woke, 1);
 	EXPECT_EQ(word.trust(woke), FleetTrust::Whole);
-	const Micros late = woke + FleetWord::kAwaited + FleetWord::kSilence + 1;
+	const Micros late = woke + FleetLiveness::kAwaited + FleetLiveness::kSilence + 1;
 	for (Micros now = woke; now < late; now += 100 * kMillisecond)
 	{
 		word.onTime(now);
--- a/tests/quotatest.cpp
+++ b/tests/quotatest.cpp
@@ -62,7 +62,7 @@
 	const double seconds = static_cast<double>(now - kSecond) / static_cast<double>(kSecond);
 	// Each gateway may take what is there before it hears of the others: a burst and a request apiece, and, at each
 	// cut, the whole rate until the silence is noticed.
-	const double silence = static_cast<double>(FleetWord::kSilence + kStep) / static_cast<double>(kSecond);
+	const double silence = static_cast<double>(FleetLiveness::kSilence + kStep) / static_cast<double>(kSecond);
 	const double slack = (kBurst + kRate * 0.01) * static_cast<double>(kGateways) + kRate * silence * cuttings;
 	RC_ASSERT(taken <= kRate * seconds + kBurst + slack);
 }
@@ -114,7 +114,7 @@
 	taken += kDemand * kRate * secondsOf(gap);
 	hear("second", kRound);
 	EXPECT_LE(static_cast<double>(ledger.levels(now).at("team")), before + 1.5 * kRate * secondsOf(kRound));
-	EXPECT_EQ(ledger.word().gatewaysHeard(now), kGateways) << "the collector before counts no more";
+	EXPECT_EQ(ledger.liveness().gatewaysHeard(now), kGateways) << "the collector before counts no more";
 }
 
 TEST(QuotaLedger, aCollectorThatTakesOverInAYoungFleetTellsNothingTwice)
@@ -133,9 +133,9 @@
 		ledger.onSums("fleet", "fleet/a", now, now, 17);
 	}
 	now += 250 * kMillisecond;
-	EXPECT_TRUE(ledger.word().replacesAnother("fleet", "fleet/b"));
-	EXPECT_FALSE(ledger.word().replacesAnother("fleet", "fleet/a"));
-	EXPECT_FALSE(ledger.word().replacesAnother("another", "another/b"));
+	EXPECT_TRUE(ledger.liveness().replacesAnother("fleet", "fleet/b"));
+	EXPECT_FALSE(ledger.liveness().replacesAnother("fleet", "fleet/a"));
+	EXPECT_FALSE(ledger.liveness().replacesAnother("another", "another/b"));
 	ledger.onReport("fleet/b", 1, {"team", taken}, now, kNever);
 	ledger.onSums("fleet", "fleet/b", now, now, 17);
 	EXPECT_GE(ledger.levels(now).at("team"), 30U);
