--- a/src/coordination/fleetliveness.cpp
+++ b/src/coordination/fleetliveness.cpp
@@ -121,11 +121,11 @@
 	return secondsOf(silent) * static_cast<double>(word->second.gateways) / static_cast<double>(m_members);
 }
 
-FleetTrust FleetLiveness::trust(Micros _now) const
+FleetContact FleetLiveness::contact(Micros _now) const
 {
 	if (m_members <= 1)
 	{
-		return FleetTrust::Whole;
+		return FleetContact::Established;
 	}
 	std::size_t proved = 1;
 	for (const auto& [source, word] : m_heard)
@@ -136,10 +136,10 @@
 	const double least = kMost * static_cast<double>(std::min(m_mostHeard, m_members));
 	if (m_mostHeard > 1 && static_cast<double>(proved) >= least)
 	{
-		return FleetTrust::Whole;
+		return FleetContact::Established;
 	}
-	const bool justWoke = m_stall.woke() != kLongAgo && _now - m_stall.woke() <= kAwaited;
-	return justWoke ? FleetTrust::Awaited : FleetTrust::Lost;
+	const bool justWoke = m_stall.woke() != kLongAgo && _now - m_stall.woke() <= kResumeTimeout;
+	return justWoke ? FleetContact::Resuming : FleetContact::Lost;
 }
 
 Micros FleetLiveness::age(Micros _now) const
--- a/src/coordination/fleetliveness.h
+++ b/src/coordination/fleetliveness.h
@@ -18,11 +18,11 @@
 namespace beacongate
 {
 /// How far what is known of the other gateways may be acted on.
-enum class FleetTrust
+enum class FleetContact
 {
-	Whole,   ///< Most of them were heard of late.
-	Awaited, ///< This process stood still; it has asked, and their words are on their way.
-	Lost,    ///< Most of them are not heard.
+	Established, ///< Most of them were heard of late.
+	Resuming,    ///< This process stood still; it has asked, and their words are on their way.
+	Lost,        ///< Most of them are not heard.
 };
 
 /// Keeps from whom word came, and when that word was proved to be new.
@@ -39,7 +39,7 @@
 	/// For so long after it stood still, a gateway waits for word before it goes by its own share: a round of
 	/// gossip and the way there and back. The report goes out as it wakes, and 23 gateways of 77 that stood still
 	/// for 2.5 s heard after 0.2 s (log of one day with a hot team).
-	static constexpr Micros kAwaited = 350 * kMillisecond;
+	static constexpr Micros kResumeTimeout = 350 * kMillisecond;
 
 	/// A longer span without any word is none of those that lost datagrams make.
 	static constexpr Micros kGap = 500 * kMillisecond;
@@ -95,7 +95,7 @@
 	double secondsLeftTo(const std::string& _source, Micros _now) const;
 
 	/// @returns how far the others may be reckoned with.
-	FleetTrust trust(Micros _now) const;
+	FleetContact contact(Micros _now) const;
 
 	/// @returns whether this process stood still and went on within a span.
 	bool wokeWithin(Micros _span, Micros _now) const
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -156,7 +156,7 @@
 
 bool QuotaLedger::alone(Micros _now) const
 {
-	return settling(_now) || m_liveness.trust(_now) == FleetTrust::Lost;
+	return settling(_now) || m_liveness.contact(_now) == FleetContact::Lost;
 }
 
 bool QuotaLedger::settling(Micros _now) const
@@ -174,7 +174,7 @@
 	std::vector<QuotaLevel> levels;
 	// One that began with all others has heard of everything, one that was told goes on from there.
 	const bool sinceStart = m_firstStart || m_adopted || _now - m_started > TokenBucket::kHistory;
-	const bool knows = sinceStart && m_liveness.trust(_now) == FleetTrust::Whole;
+	const bool knows = sinceStart && m_liveness.contact(_now) == FleetContact::Established;
 	for (const auto& [name, team] : m_teams)
 	{
 		if (knows && team.bucket.limited())
@@ -325,12 +325,12 @@
 		return {};
 	}
 	onTime(_now);
-	if (m_liveness.trust(_now) == FleetTrust::Awaited)
+	if (m_liveness.contact(_now) == FleetContact::Resuming)
 	{
 		// What the others took meanwhile is told within moments. Decided before, a third of 77 gateways that stood
 		// still let through what came meanwhile by the level of before, and were refused what the level of now
 		// allows (quotastalltest).
-		return {QuotaBound::Unproved, FleetLiveness::kAwaited};
+		return {QuotaBound::Unproved, FleetLiveness::kResumeTimeout};
 	}
 	recordSilentShare(team, _now);
 	const Standing standing = standingOf(team, _now);
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -55,7 +55,7 @@
 	{
 		return QuotaRule::Local;
 	}
-	if (settling(_now) || m_liveness.trust(_now) != FleetTrust::Whole)
+	if (settling(_now) || m_liveness.contact(_now) != FleetContact::Established)
 	{
 		// It need not know what is left, as long as it reaches one that does.
 		return QuotaRule::Granted;
@@ -103,7 +103,7 @@
 	onTime(_now);
 	// A limit that is not known here may be in force there.
 	const bool knowsLimit = it != m_teams.end() && it->second.bucket.limited();
-	if (!knowsLimit || settling(_now) || m_liveness.trust(_now) != FleetTrust::Whole)
+	if (!knowsLimit || settling(_now) || m_liveness.contact(_now) != FleetContact::Established)
 	{
 		const bool soon = knowsLimit && m_liveness.wokeWithin(kHeardAgain, _now);
 		return {soon ? GrantOutcome::Later : GrantOutcome::Unable, 0};
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -424,7 +424,8 @@
 	seen.work = work;
 	// One that does not hear of most gateways does not know the load, and keeps what stands.
 	const FleetLiveness& liveness = m_context.quotas.liveness();
-	const bool hearsMost = liveness.trust(_now) == FleetTrust::Whole && liveness.silentShare(_now) < kMostSilent;
+	const bool hearsMost =
+		liveness.contact(_now) == FleetContact::Established && liveness.silentShare(_now) < kMostSilent;
 	seen.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	seen.firstStart = m_context.settings.firstStart;
 	seen.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -125,24 +125,24 @@
 	word.setMembers(3);
 	const Micros start = kSecond;
 	word.onTime(start);
-	EXPECT_EQ(word.trust(start), FleetTrust::Lost) << "nobody was ever heard";
+	EXPECT_EQ(word.contact(start), FleetContact::Lost) << "nobody was ever heard";
 	word.onHeard("a", start, start, 1);
 	word.onHeard("b", start, start, 1);
-	EXPECT_EQ(word.trust(start), FleetTrust::Whole);
+	EXPECT_EQ(word.contact(start), FleetContact::Established);
 	const Micros woke = start + 2 * kSecond;
 	word.onTime(woke);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Awaited);
+	EXPECT_EQ(word.contact(woke), FleetContact::Resuming);
 	word.onHeard("a", woke, woke - kSecond, 1);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Awaited) << "it answers what was sent before the stall";
+	EXPECT_EQ(word.contact(woke), FleetContact::Resuming) << "it answers what was sent before the stall";
 	EXPECT_EQ(word.silentShare(woke), 0.0) << "that they were not heard says nothing of them";
 	word.onHeard("a", woke, woke, 1);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Whole);
-	const Micros late = woke + FleetLiveness::kAwaited + FleetLiveness::kSilence + 1;
+	EXPECT_EQ(word.contact(woke), FleetContact::Established);
+	const Micros late = woke + FleetLiveness::kResumeTimeout + FleetLiveness::kSilence + 1;
 	for (Micros now = woke; now < late; now += 100 * kMillisecond)
 	{
 		word.onTime(now);
 	}
-	EXPECT_EQ(word.trust(late), FleetTrust::Lost);
+	EXPECT_EQ(word.contact(late), FleetContact::Lost);
 	EXPECT_GT(word.silentShare(late), 0.6);
 }
 
