--- a/src/coordination/collectorwatch.cpp
+++ b/src/coordination/collectorwatch.cpp
@@ -22,7 +22,7 @@
 	{
 		const auto& [host, asked] = *it;
 		const Micros since = std::max({asked, _heard(host), m_stall.woke()});
-		const bool isSilent = _now - since > kSilence;
+		const bool isSilent = _now - since > kSilenceTimeout;
 		if (isSilent)
 		{
 			silent.push_back(host);
--- a/src/coordination/collectorwatch.h
+++ b/src/coordination/collectorwatch.h
@@ -22,7 +22,7 @@
 {
 public:
 	/// A collector that should have been heard for this long, three rounds, is silent.
-	static constexpr Micros kSilence = 3 * limits::kCollectorRound + 50 * kMillisecond;
+	static constexpr Micros kSilenceTimeout = 3 * limits::kCollectorRound + 50 * kMillisecond;
 
 	/// A collector was spoken to, and answers if it can.
 	void onAsked(const std::string& _host, Micros _now)
--- a/src/coordination/fleetliveness.cpp
+++ b/src/coordination/fleetliveness.cpp
@@ -23,9 +23,9 @@
 	m_members = std::max<std::size_t>(1, _members);
 }
 
-Micros FleetLiveness::silence() const
+Micros FleetLiveness::silenceTimeout() const
 {
-	return std::max(kSilence, 2 * GossipPlan::hearingSpan(m_members));
+	return std::max(kSilenceTimeout, 2 * GossipPlan::hearingSpan(m_members));
 }
 
 void FleetLiveness::onTime(Micros _now)
@@ -64,7 +64,7 @@
 	if (before != _source && word != m_heard.end())
 	{
 		// What came after the span of silence is recorded as the share of silent gateways.
-		const Micros silent = std::max<Micros>(0, _now - silentSince(word->second) - silence());
+		const Micros silent = std::max<Micros>(0, _now - silentSince(word->second) - silenceTimeout());
 		unreported = std::clamp<Micros>(_now - word->second.proved - silent, 0, TokenBucket::kHistory);
 		m_heard.erase(word);
 	}
@@ -95,7 +95,7 @@
 	std::size_t heard = 1;
 	for (const auto& [source, word] : m_heard)
 	{
-		heard += _now - silentSince(word) <= silence() ? word.gateways : 0;
+		heard += _now - silentSince(word) <= silenceTimeout() ? word.gateways : 0;
 	}
 	return heard;
 }
@@ -117,7 +117,7 @@
 	// What was left to it longer ago is not in the bucket any more, and makes up for nothing: with the whole span,
 	// gateways that came back after 12 s took 11.11 of 11.03 million tokens in 8 s, so 10.11 (quotarestarttest).
 	const Micros silent =
-		std::clamp<Micros>(_now - silentSince(word->second) - silence(), 0, TokenBucket::kHistory);
+		std::clamp<Micros>(_now - silentSince(word->second) - silenceTimeout(), 0, TokenBucket::kHistory);
 	return secondsOf(silent) * static_cast<double>(word->second.gateways) / static_cast<double>(m_members);
 }
 
@@ -130,7 +130,7 @@
 	std::size_t proved = 1;
 	for (const auto& [source, word] : m_heard)
 	{
-		const bool isNew = word.proved >= m_stall.woke() && _now - word.proved <= silence();
+		const bool isNew = word.proved >= m_stall.woke() && _now - word.proved <= silenceTimeout();
 		proved += isNew ? word.gateways : 0;
 	}
 	const double least = kMost * static_cast<double>(std::min(m_mostHeard, m_members));
--- a/src/coordination/fleetliveness.h
+++ b/src/coordination/fleetliveness.h
@@ -35,7 +35,7 @@
 public:
 	/// A source that was silent for longer is taken for cut off; in larger fleets, for twice the span in which a
 	/// peer is heard by chance.
-	static constexpr Micros kSilence = 700 * kMillisecond;
+	static constexpr Micros kSilenceTimeout = 700 * kMillisecond;
 	/// For so long after it stood still, a gateway waits for word before it goes by its own share: a round of
 	/// gossip and the way there and back. The report goes out as it wakes, and 23 gateways of 77 that stood still
 	/// for 2.5 s heard after 0.2 s (log of one day with a hot team).
@@ -113,7 +113,7 @@
 	}
 
 	/// @returns for how long a source is silent before it is taken for cut off.
-	Micros silence() const;
+	Micros silenceTimeout() const;
 
 private:
 	struct Word
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -225,7 +225,7 @@
 
 double QuotaLedger::secondsLate(Micros _now) const
 {
-	const Micros age = std::min(m_liveness.age(_now), m_liveness.silence());
+	const Micros age = std::min(m_liveness.age(_now), m_liveness.silenceTimeout());
 	return std::max(0.0, secondsOf(age) - kMeanDelay * hearingSpan());
 }
 
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -137,7 +137,7 @@
 	EXPECT_EQ(word.silentShare(woke), 0.0) << "that they were not heard says nothing of them";
 	word.onHeard("a", woke, woke, 1);
 	EXPECT_EQ(word.contact(woke), FleetContact::Established);
-	const Micros late = woke + FleetLiveness::kResumeTimeout + FleetLiveness::kSilence + 1;
+	const Micros late = woke + FleetLiveness::kResumeTimeout + FleetLiveness::kSilenceTimeout + 1;
 	for (Micros now = woke; now < late; now += 100 * kMillisecond)
 	{
 		word.onTime(now);
--- a/tests/quotatest.cpp
+++ b/tests/quotatest.cpp
@@ -62,7 +62,8 @@
 	const double seconds = static_cast<double>(now - kSecond) / static_cast<double>(kSecond);
 	// Each gateway may take what is there before it hears of the others: a burst and a request apiece, and, at each
 	// cut, the whole rate until the silence is noticed.
-	const double silence = static_cast<double>(FleetLiveness::kSilence + kStep) / static_cast<double>(kSecond);
+	const double silence =
+		static_cast<double>(FleetLiveness::kSilenceTimeout + kStep) / static_cast<double>(kSecond);
 	const double slack = (kBurst + kRate * 0.01) * static_cast<double>(kGateways) + kRate * silence * cuttings;
 	RC_ASSERT(taken <= kRate * seconds + kBurst + slack);
 }
