--- a/src/coordination/fleettable.cpp
+++ b/src/coordination/fleettable.cpp
@@ -98,7 +98,7 @@
 	return true;
 }
 
-bool FleetTable::onCentreSums(const GossipMessage& _sums, Micros _now)
+bool FleetTable::onDataCentreSums(const GossipMessage& _sums, Micros _now)
 {
 	const std::string collector = _sums.host + '/' + std::to_string(_sums.run.incarnation);
 	Centre& centre = m_centres[_sums.dataCentre];
@@ -146,7 +146,7 @@
 	return sums;
 }
 
-FleetSums FleetTable::centreSums() const
+FleetSums FleetTable::dataCentreSums() const
 {
 	std::map<BackendKey, BackendLoad> loads;
 	for (const auto& [host, source] : m_sources)
--- a/src/coordination/fleettable.h
+++ b/src/coordination/fleettable.h
@@ -75,13 +75,13 @@
 
 	/// A collector tells the sums of its data centre.
 	/// @returns whether it is the one that is listened to, so that none is counted twice.
-	bool onCentreSums(const GossipMessage& _sums, Micros _now);
+	bool onDataCentreSums(const GossipMessage& _sums, Micros _now);
 
 	/// Leaves out what was not heard of late; to be called before sums are asked for.
 	void expire(Micros _now);
 
 	/// @returns sums over this data centre.
-	FleetSums centreSums() const;
+	FleetSums dataCentreSums() const;
 
 	/// @returns sums over the whole fleet.
 	FleetSums fleetSums() const;
--- a/src/coordination/gossip.h
+++ b/src/coordination/gossip.h
@@ -21,10 +21,10 @@
 /// Of whom a message tells.
 enum class GossipKind : std::uint8_t
 {
-	Report,     ///< The sender alone.
-	CentreSums, ///< All gateways of the sender's data centre, for collectors of other data centres.
-	FleetSums,  ///< The whole fleet, in answer to a report.
-	Echo,       ///< Nothing: it answers a report, so that the next one is known to be new.
+	Report,         ///< The sender alone.
+	DataCentreSums, ///< All gateways of the sender's data centre, for collectors of other data centres.
+	FleetSums,      ///< The whole fleet, in answer to a report.
+	Echo,           ///< Nothing: it answers a report, so that the next one is known to be new.
 };
 
 /// One datagram.
@@ -52,7 +52,7 @@
 	bool whole = true;                     ///< Of a report: no quota that was ever taken from is left out.
 	bool wantsSums = false;                ///< Of a report: the receiver is asked for the fleet's sums.
 	std::size_t gateways = 1;              ///< Of whom the message tells.
-	RunCounts centreUsage;                 ///< Of sums over a data centre: see UsageLedger::centreCounts().
+	RunCounts dataCentreUsage;             ///< Of sums over a data centre: see UsageLedger::dataCentreCounts().
 	std::vector<QuotaLevel> levels;        ///< For a receiver that has just started.
 	std::vector<BackendIdentity> draining; ///< Backend servers that were lately found to take no new work.
 };
--- a/src/coordination/usageledger.h
+++ b/src/coordination/usageledger.h
@@ -101,7 +101,7 @@
 	/// had started before the window. Like a single run's, such a sum only grows as more is heard, so that the
 	/// larger of two is right; one sum over all would count those that restarted, and a collector that restarted
 	/// would forget what ended runs had counted.
-	RunCounts centreCounts(const std::string& _dataCentre, std::uint64_t _fromWindow, Micros _windowSpan) const
+	RunCounts dataCentreCounts(const std::string& _dataCentre, std::uint64_t _fromWindow, Micros _windowSpan) const
 	{
 		std::map<Key, std::uint64_t> sums;
 		for (const auto& [key, count] : m_counts)
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -398,17 +398,17 @@
 void Gossiper::sendCentreSums(Micros _now)
 {
 	GossipMessage message = describeSender(_now);
-	FleetSums sums = m_table.centreSums();
-	message.kind = GossipKind::CentreSums;
+	FleetSums sums = m_table.dataCentreSums();
+	message.kind = GossipKind::DataCentreSums;
 	message.wallClock = m_context.clock.trueTime(_now);
 	message.gateways = sums.gateways;
 	message.quotas = std::move(sums.quotas);
 	message.demand = std::move(sums.demand);
 	message.loads = std::move(sums.loads);
 	const std::uint64_t window = m_context.currentWindow(_now);
-	message.centreUsage = m_context.usage.centreCounts(
+	message.dataCentreUsage = m_context.usage.dataCentreCounts(
 		m_context.settings.dataCentre, window - std::min<std::uint64_t>(window, 2), m_context.settings.usageWindow);
-	for (const auto& [run, count] : message.centreUsage)
+	for (const auto& [run, count] : message.dataCentreUsage)
 	{
 		m_context.usage.onReport(run, count);
 	}
--- a/src/gateway/gossiper.h
+++ b/src/gateway/gossiper.h
@@ -59,7 +59,7 @@
 	/// Counts a datagram that is none of a format that is read, and logs the first ones.
 	void onUnreadable(const std::string& _sender);
 	void onReport(const GossipMessage& _message, bool _fresh, Micros _now);
-	void onCentreSums(const GossipMessage& _message, Micros _now);
+	void onDataCentreSums(const GossipMessage& _message, Micros _now);
 	void onFleetSums(const GossipMessage& _message, Micros _now);
 	void answerWithEcho(const std::string& _host, Micros _now);
 	void answerWithSums(const std::string& _host, Micros _now);
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -117,7 +117,7 @@
 	{
 		m_context.usage.onReport(message->run, count);
 	}
-	for (const auto& [run, count] : message->centreUsage)
+	for (const auto& [run, count] : message->dataCentreUsage)
 	{
 		m_context.usage.onReport(run, count);
 	}
@@ -125,7 +125,7 @@
 	{
 		onReport(*message, fresh, now);
 	}
-	if (message->kind == GossipKind::CentreSums)
+	if (message->kind == GossipKind::DataCentreSums)
 	{
 		answerWithEcho(message->host, now);
 	}
@@ -133,9 +133,9 @@
 	{
 		return;
 	}
-	if (message->kind == GossipKind::CentreSums)
+	if (message->kind == GossipKind::DataCentreSums)
 	{
-		onCentreSums(*message, now);
+		onDataCentreSums(*message, now);
 	}
 	if (message->kind == GossipKind::FleetSums)
 	{
@@ -205,10 +205,10 @@
 	}
 }
 
-void Gossiper::onCentreSums(const GossipMessage& _message, Micros _now)
+void Gossiper::onDataCentreSums(const GossipMessage& _message, Micros _now)
 {
 	if (!collects() || _message.dataCentre == m_context.settings.dataCentre ||
-		!m_table.onCentreSums(_message, _now))
+		!m_table.onDataCentreSums(_message, _now))
 	{
 		return;
 	}
--- a/src/protocol/gossipcodec.cpp
+++ b/src/protocol/gossipcodec.cpp
@@ -225,7 +225,7 @@
 									 _message.whole,
 									 _message.wantsSums,
 									 _message.gateways,
-									 encodeCentreUsage(_message.centreUsage),
+									 encodeCentreUsage(_message.dataCentreUsage),
 									 encodeLevels(_message.levels)});
 	std::string bytes;
 	Json::to_msgpack(fields, bytes);
@@ -274,7 +274,7 @@
 		message.whole = fields[22].get<bool>();
 		message.wantsSums = fields[23].get<bool>();
 		message.gateways = fields[24].get<std::size_t>();
-		message.centreUsage = decodeCentreUsage(fields[25]);
+		message.dataCentreUsage = decodeCentreUsage(fields[25]);
 		// Without levels, a gateway that starts goes by its own part of each limit.
 		message.levels = fields.size() > kFieldsOf6 ? decodeLevels(fields[kFieldsOf6]) : std::vector<QuotaLevel>();
 		return message;
--- a/tests/buildstest.cpp
+++ b/tests/buildstest.cpp
@@ -68,8 +68,8 @@
 	EXPECT_FALSE(_message->whole);
 	EXPECT_TRUE(_message->wantsSums);
 	EXPECT_EQ(_message->gateways, 12u);
-	ASSERT_EQ(_message->centreUsage.size(), 1u);
-	EXPECT_EQ(_message->centreUsage[0].second.count, 11u);
+	ASSERT_EQ(_message->dataCentreUsage.size(), 1u);
+	EXPECT_EQ(_message->dataCentreUsage[0].second.count, 11u);
 	EXPECT_EQ(_message->draining, (std::vector<BackendIdentity>{{"w2", 1700000000001}}));
 }
 } // namespace
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -466,9 +466,9 @@
 	{
 		Gateway& gateway = m_gateways[_number];
 		gateway.table.expire(m_now);
-		FleetSums sums = gateway.table.centreSums();
+		FleetSums sums = gateway.table.dataCentreSums();
 		GossipMessage message;
-		message.kind = GossipKind::CentreSums;
+		message.kind = GossipKind::DataCentreSums;
 		message.gateways = sums.gateways;
 		message.quotas = sums.quotas;
 		for (unsigned head = 0; head < 2 * kDataCentres; ++head)
@@ -492,7 +492,7 @@
 		Micros& newest = gateway.newest[from];
 		newest = std::max(newest, _message.sent);
 		const bool fresh = _message.echo > 0 && m_now - _message.echo <= kFresh;
-		if (_message.kind == GossipKind::CentreSums)
+		if (_message.kind == GossipKind::DataCentreSums)
 		{
 			sendEcho(_number, from);
 		}
@@ -500,7 +500,8 @@
 		{
 			hearReport(_number, from, _message, fresh);
 		}
-		else if (fresh && _message.kind == GossipKind::CentreSums && gateway.table.onCentreSums(_message, m_now))
+		else if (fresh && _message.kind == GossipKind::DataCentreSums &&
+				 gateway.table.onDataCentreSums(_message, m_now))
 		{
 			const std::string source = _message.dataCentre + '/' + _message.host;
 			takeCounters(gateway, _message.dataCentre, source, _message);
--- a/tests/fleettabletest.cpp
+++ b/tests/fleettabletest.cpp
@@ -37,7 +37,7 @@
 GossipMessage sumsOf(const FleetSums& _sums, const std::string& _host, const std::string& _dataCentre)
 {
 	GossipMessage message;
-	message.kind = GossipKind::CentreSums;
+	message.kind = GossipKind::DataCentreSums;
 	message.run = {_host, 1};
 	message.host = _host;
 	message.dataCentre = _dataCentre;
@@ -90,7 +90,7 @@
 			table.onReport(reportOf(gateway, taken[gateway] / 2, runs[gateway]), 0); // An older one, late.
 		}
 		RC_ASSERT(std::abs(takenIn(table.fleetSums()) - all) < 1e-6);
-		RC_ASSERT(std::abs(takenIn(table.centreSums()) - all) < 1e-6);
+		RC_ASSERT(std::abs(takenIn(table.dataCentreSums()) - all) < 1e-6);
 	}
 }
 
@@ -131,15 +131,15 @@
 	sums.gateways = 3;
 	sums.quotas = {{kTeam, 100.0}};
 	sums.loads = {{BackendKey("b"), 2, 0}};
-	EXPECT_TRUE(table.onCentreSums(sumsOf(sums, "10.1.0.1", "b"), 0));
-	EXPECT_FALSE(table.onCentreSums(sumsOf(sums, "10.1.0.2", "b"), 100 * kMillisecond));
+	EXPECT_TRUE(table.onDataCentreSums(sumsOf(sums, "10.1.0.1", "b"), 0));
+	EXPECT_FALSE(table.onDataCentreSums(sumsOf(sums, "10.1.0.2", "b"), 100 * kMillisecond));
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(table.fleetSums().gateways, 3u);
-	EXPECT_EQ(takenIn(table.centreSums()), 0.0) << "sums of others are not passed on as one's own";
+	EXPECT_EQ(takenIn(table.dataCentreSums()), 0.0) << "sums of others are not passed on as one's own";
 	const Micros later = FleetTable::kCollectorSilence + 1;
 	GossipMessage second = sumsOf(sums, "10.1.0.2", "b");
 	second.uptime = FleetTable::kYoung + 1;
-	EXPECT_TRUE(table.onCentreSums(second, later)) << "the first one is silent";
+	EXPECT_TRUE(table.onDataCentreSums(second, later)) << "the first one is silent";
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(inFlightIn(table.fleetSums(), BackendKey("b")), 2u);
 	table.expire(later + FleetTable::kLife + 1);
@@ -203,7 +203,7 @@
 	UsageLedger holder({"h", early});
 	const auto tell = [&](const UsageLedger& _from)
 	{
-		for (const auto& [run, count] : _from.centreCounts("a", kWindow, kSpan))
+		for (const auto& [run, count] : _from.dataCentreCounts("a", kWindow, kSpan))
 		{
 			holder.onReport(run, count);
 		}
@@ -360,7 +360,7 @@
 			return;
 		}
 		gateway.table.onReport(report, m_now);
-		GossipMessage sums = sumsOf(gateway.table.centreSums(), report.host, report.dataCentre);
+		GossipMessage sums = sumsOf(gateway.table.dataCentreSums(), report.host, report.dataCentre);
 		sums.uptime = m_now;
 		for (unsigned other = 0; other < m_gateways.size(); ++other)
 		{
@@ -381,9 +381,9 @@
 			ASSERT_TRUE(message);
 			Gateway& receiver = m_gateways[datagram.to];
 			receiver.bytes += static_cast<double>(datagram.bytes.size());
-			if (message->kind == GossipKind::CentreSums)
+			if (message->kind == GossipKind::DataCentreSums)
 			{
-				receiver.table.onCentreSums(*message, m_now);
+				receiver.table.onDataCentreSums(*message, m_now);
 			}
 			else if (message->kind == GossipKind::Report)
 			{
@@ -544,12 +544,12 @@
 
 	void tellCentres(unsigned _number)
 	{
-		GossipMessage sums =
-			sumsOf(m_gateways[_number].table.centreSums(), "c" + std::to_string(_number), std::to_string(_number));
+		GossipMessage sums = sumsOf(m_gateways[_number].table.dataCentreSums(), "c" + std::to_string(_number),
+									std::to_string(_number));
 		sums.uptime = m_now;
 		for (unsigned other = 0; other < kDataCentres; ++other)
 		{
-			if (other != _number && m_gateways[other].table.onCentreSums(sums, m_now))
+			if (other != _number && m_gateways[other].table.onDataCentreSums(sums, m_now))
 			{
 				hear(m_gateways[other], sums.host, sums, sums.gateways);
 			}
--- a/tests/gatewayprotocoltest.cpp
+++ b/tests/gatewayprotocoltest.cpp
@@ -194,14 +194,14 @@
 	message.members = {"10.0.0.2"};
 	message.quotas = {{"team", 11.5}};
 	message.loads = {{BackendKey("backend"), 12, 160}, {BackendKey("other"), 0, 4'000}};
-	message.kind = GossipKind::CentreSums;
+	message.kind = GossipKind::DataCentreSums;
 	message.dataCentre = "a";
 	message.contentFingerprint = 0xFFFF'FFFF'FFFF'FFFFU;
 	message.contentAge = 18;
 	message.whole = false;
 	message.wantsSums = true;
 	message.gateways = 19;
-	message.centreUsage = {{{"/a", 2}, {20, "team", 21}}};
+	message.dataCentreUsage = {{{"/a", 2}, {20, "team", 21}}};
 	message.levels = {{"team", -22.5}};
 	message.usage = {{14, "team", 15}};
 	message.demand = {{"service", 16.5, 2.25}};
@@ -223,9 +223,9 @@
 	EXPECT_EQ(decoded->loads[1].pendingTokens, 4'000u);
 	ASSERT_EQ(decoded->levels.size(), 1u);
 	EXPECT_EQ(decoded->levels[0].left, -22.5);
-	ASSERT_EQ(decoded->centreUsage.size(), 1u);
-	EXPECT_EQ(decoded->centreUsage[0].first, (GatewayRun{"/a", 2}));
-	EXPECT_EQ(decoded->centreUsage[0].second.count, 21u);
+	ASSERT_EQ(decoded->dataCentreUsage.size(), 1u);
+	EXPECT_EQ(decoded->dataCentreUsage[0].first, (GatewayRun{"/a", 2}));
+	EXPECT_EQ(decoded->dataCentreUsage[0].second.count, 21u);
 }
 
 TEST(GossipCodec, boundsTheLoadsOfAMessageHoweverManyServersThereAre)
