--- a/src/coordination/quotaadmission.cpp
+++ b/src/coordination/quotaadmission.cpp
@@ -88,13 +88,13 @@
 	while (_pending.next < _pending.grantors.size())
 	{
 		const std::string& host = _pending.grantors[_pending.next++];
-		const QuotaAsk ask{_id, _pending.team, _pending.amount};
+		const QuotaGrantRequest ask{_id, _pending.team, _pending.amount};
 		if (host != m_host)
 		{
 			m_send(host, ask);
 			return;
 		}
-		const QuotaAnswer answer = m_grantor.decide(ask, m_host, _now);
+		const QuotaGrantAnswer answer = m_grantor.decide(ask, m_host, _now);
 		if (isDecision(answer.outcome))
 		{
 			onDecided(_pending, host, answer, _now);
@@ -154,7 +154,7 @@
 	else if (!_pending.later && !_pending.repeated && _pending.waited > kRepeatAfter)
 	{
 		_pending.repeated = true;
-		m_send(_pending.grantors[_pending.next - 1], QuotaAsk{_id, _pending.team, _pending.amount});
+		m_send(_pending.grantors[_pending.next - 1], QuotaGrantRequest{_id, _pending.team, _pending.amount});
 	}
 }
 
@@ -202,10 +202,10 @@
 		m_grantor.onReturn({_team, _amount}, _now);
 		return;
 	}
-	m_send(_ticket.grantor, QuotaReturn{_team, _amount});
+	m_send(_ticket.grantor, QuotaGrantReturn{_team, _amount});
 }
 
-void QuotaAdmission::onAnswer(const std::string& _host, const QuotaAnswer& _answer, Micros _now)
+void QuotaAdmission::onAnswer(const std::string& _host, const QuotaGrantAnswer& _answer, Micros _now)
 {
 	const bool decided = isDecision(_answer.outcome);
 	if (decided)
@@ -219,7 +219,7 @@
 		if (_answer.outcome == GrantOutcome::Granted)
 		{
 			++m_counts.returned;
-			m_send(_host, QuotaReturn{_answer.team, _answer.amount});
+			m_send(_host, QuotaGrantReturn{_answer.team, _answer.amount});
 		}
 		return;
 	}
@@ -240,7 +240,8 @@
 	}
 }
 
-void QuotaAdmission::onDecided(Pending& _pending, const std::string& _host, const QuotaAnswer& _answer, Micros _now)
+void QuotaAdmission::onDecided(Pending& _pending, const std::string& _host, const QuotaGrantAnswer& _answer,
+							   Micros _now)
 {
 	_pending.grantor = _host;
 	if (_answer.outcome == GrantOutcome::Granted)
--- a/src/coordination/quotaadmission.h
+++ b/src/coordination/quotaadmission.h
@@ -37,7 +37,7 @@
 };
 
 /// What became of asks since this gateway started.
-struct QuotaAskCounts
+struct QuotaGrantCounts
 {
 	std::uint64_t granted = 0;
 	std::uint64_t refused = 0;
@@ -98,13 +98,13 @@
 	void giveBack(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now);
 
 	/// A grantor's answer came.
-	void onAnswer(const std::string& _host, const QuotaAnswer& _answer, Micros _now);
+	void onAnswer(const std::string& _host, const QuotaGrantAnswer& _answer, Micros _now);
 
 	/// @returns which grantors were found failing since the last call, for the log.
 	std::vector<GrantorNotice> takeNotices();
 
 	/// @returns what became of asks.
-	const QuotaAskCounts& counts() const
+	const QuotaGrantCounts& counts() const
 	{
 		return m_counts;
 	}
@@ -149,7 +149,7 @@
 	void goOn(std::uint64_t _id, Pending& _pending, Micros _now);
 	/// Asks the next grantor.
 	void askNext(std::uint64_t _id, Pending& _pending, Micros _now);
-	void onDecided(Pending& _pending, const std::string& _host, const QuotaAnswer& _answer, Micros _now);
+	void onDecided(Pending& _pending, const std::string& _host, const QuotaGrantAnswer& _answer, Micros _now);
 	void onUndecided(std::uint64_t _id, Pending& _pending, GrantOutcome _outcome, Micros _now);
 	void note(const GrantorNotice& _notice);
 	QuotaVerdict finish(QuotaTicket& _ticket, Pending& _pending, Micros _now);
@@ -164,7 +164,7 @@
 	std::map<std::uint64_t, Pending> m_pending; ///< One for each request that waits.
 	std::map<std::string, Hold> m_holds;        ///< By team; limited ones alone.
 	std::vector<GrantorNotice> m_notices;       ///< One for each grantor and span at most.
-	QuotaAskCounts m_counts;
+	QuotaGrantCounts m_counts;
 };
 
 } // namespace beacongate
--- a/src/coordination/quotagrant.h
+++ b/src/coordination/quotagrant.h
@@ -20,7 +20,7 @@
 namespace beacongate
 {
 /// A gateway asks a grantor for a grant.
-struct QuotaAsk
+struct QuotaGrantRequest
 {
 	std::uint64_t id = 0; ///< The asker's; the same at each grantor that it asks for one request.
 	std::string team;
@@ -37,7 +37,7 @@
 };
 
 /// A grantor's answer.
-struct QuotaAnswer
+struct QuotaGrantAnswer
 {
 	std::uint64_t id = 0;
 	GrantOutcome outcome = GrantOutcome::Unable;
@@ -48,13 +48,13 @@
 };
 
 /// A gateway gives a grant back that it did not use.
-struct QuotaReturn
+struct QuotaGrantReturn
 {
 	std::string team;
 	double amount = 0.0;
 };
 
-using QuotaMessage = std::variant<QuotaAsk, QuotaAnswer, QuotaReturn>;
+using QuotaMessage = std::variant<QuotaGrantRequest, QuotaGrantAnswer, QuotaGrantReturn>;
 
 } // namespace beacongate
 
--- a/src/coordination/quotagrantor.cpp
+++ b/src/coordination/quotagrantor.cpp
@@ -14,14 +14,14 @@
 constexpr Micros kGrantsSpan = 1 * kSecond; ///< For which grants are kept at least: longer than any ask waits.
 } // namespace
 
-QuotaAnswer QuotaGrantor::decide(const QuotaAsk& _ask, const std::string& _asker, Micros _now)
+QuotaGrantAnswer QuotaGrantor::decide(const QuotaGrantRequest& _ask, const std::string& _asker, Micros _now)
 {
 	if (wasGranted(_asker, _ask.id, _now))
 	{
 		return {_ask.id, GrantOutcome::Granted, 0, 0, _ask.team, _ask.amount};
 	}
 	const QuotaGrant grant = m_ledger.grant(_ask.team, _ask.amount, _now);
-	QuotaAnswer answer{_ask.id, grant.outcome, grant.wait, 0, _ask.team, _ask.amount};
+	QuotaGrantAnswer answer{_ask.id, grant.outcome, grant.wait, 0, _ask.team, _ask.amount};
 	if (grant.outcome != GrantOutcome::Granted && grant.outcome != GrantOutcome::Refused)
 	{
 		return answer;
@@ -67,7 +67,7 @@
 	return std::max(askers.now.size(), askers.before.size());
 }
 
-void QuotaGrantor::onReturn(const QuotaReturn& _return, Micros _now)
+void QuotaGrantor::onReturn(const QuotaGrantReturn& _return, Micros _now)
 {
 	m_ledger.takeBack(_return.team, _return.amount, _now);
 }
--- a/src/coordination/quotagrantor.h
+++ b/src/coordination/quotagrantor.h
@@ -35,10 +35,10 @@
 	}
 
 	/// Decides for a gateway.
-	QuotaAnswer decide(const QuotaAsk& _ask, const std::string& _asker, Micros _now);
+	QuotaGrantAnswer decide(const QuotaGrantRequest& _ask, const std::string& _asker, Micros _now);
 
 	/// A gateway gives a grant back.
-	void onReturn(const QuotaReturn& _return, Micros _now);
+	void onReturn(const QuotaGrantReturn& _return, Micros _now);
 
 private:
 	/// Gateways that asked of late.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -228,7 +228,7 @@
 					 static_cast<double>(m_context.quotas.liveness().gatewaysHeard(now)));
 	const Micros wordAge = m_context.quotas.liveness().age(now);
 	metrics.setGauge("beacongate_quota_word_age_seconds", wordAge == kNever ? -1.0 : secondsOf(wordAge));
-	const QuotaAskCounts& asks = m_context.admission.counts();
+	const QuotaGrantCounts& asks = m_context.admission.counts();
 	metrics.setGauge("beacongate_quota_asks_granted", static_cast<double>(asks.granted));
 	metrics.setGauge("beacongate_quota_asks_refused", static_cast<double>(asks.refused));
 	metrics.setGauge("beacongate_quota_asks_unable", static_cast<double>(asks.unable));
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -82,15 +82,15 @@
 void Gossiper::onQuotaMessage(const QuotaMessage& _message, const std::string& _sender)
 {
 	const Micros now = monotonicNow();
-	if (const auto* ask = std::get_if<QuotaAsk>(&_message))
+	if (const auto* ask = std::get_if<QuotaGrantRequest>(&_message))
 	{
 		sendBytes(encodeQuota(m_context.grantor.decide(*ask, _sender, now)), _sender);
 	}
-	else if (const auto* answer = std::get_if<QuotaAnswer>(&_message))
+	else if (const auto* answer = std::get_if<QuotaGrantAnswer>(&_message))
 	{
 		m_context.admission.onAnswer(_sender, *answer, now);
 	}
-	else if (const auto* unused = std::get_if<QuotaReturn>(&_message))
+	else if (const auto* unused = std::get_if<QuotaGrantReturn>(&_message))
 	{
 		m_context.grantor.onReturn(*unused, now);
 	}
--- a/src/protocol/quotacodec.cpp
+++ b/src/protocol/quotacodec.cpp
@@ -22,18 +22,18 @@
 
 struct Encoder
 {
-	Json operator()(const QuotaAsk& _ask) const
+	Json operator()(const QuotaGrantRequest& _ask) const
 	{
 		return Json::array({kFormat, kAsk, _ask.id, _ask.team, _ask.amount});
 	}
 
-	Json operator()(const QuotaAnswer& _answer) const
+	Json operator()(const QuotaGrantAnswer& _answer) const
 	{
 		return Json::array({kFormat, kAnswer, _answer.id, static_cast<unsigned>(_answer.outcome), _answer.wait,
 							_answer.hold, _answer.team, _answer.amount});
 	}
 
-	Json operator()(const QuotaReturn& _return) const
+	Json operator()(const QuotaGrantReturn& _return) const
 	{
 		return Json::array({kFormat, kReturn, _return.team, _return.amount});
 	}
@@ -67,14 +67,14 @@
 	switch (_fields.at(1).get<unsigned>())
 	{
 	case kAsk:
-		return QuotaAsk{_fields.at(2).get<std::uint64_t>(), _fields.at(3).get<std::string>(),
-						amountOf(_fields.at(4))};
+		return QuotaGrantRequest{_fields.at(2).get<std::uint64_t>(), _fields.at(3).get<std::string>(),
+								 amountOf(_fields.at(4))};
 	case kAnswer:
-		return QuotaAnswer{_fields.at(2).get<std::uint64_t>(), outcomeOf(_fields.at(3)),
-						   _fields.at(4).get<Micros>(),        _fields.at(5).get<Micros>(),
-						   _fields.at(6).get<std::string>(),   amountOf(_fields.at(7))};
+		return QuotaGrantAnswer{_fields.at(2).get<std::uint64_t>(), outcomeOf(_fields.at(3)),
+								_fields.at(4).get<Micros>(),        _fields.at(5).get<Micros>(),
+								_fields.at(6).get<std::string>(),   amountOf(_fields.at(7))};
 	case kReturn:
-		return QuotaReturn{_fields.at(2).get<std::string>(), amountOf(_fields.at(3))};
+		return QuotaGrantReturn{_fields.at(2).get<std::string>(), amountOf(_fields.at(3))};
 	default:
 		return std::nullopt;
 	}
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -336,17 +336,17 @@
 	void hearQuota(Gateway& _gateway, const QuotaDatagram& _datagram)
 	{
 		const std::string from = std::to_string(_datagram.from);
-		if (const auto* ask = std::get_if<QuotaAsk>(&_datagram.message))
+		if (const auto* ask = std::get_if<QuotaGrantRequest>(&_datagram.message))
 		{
-			const QuotaAnswer answer = _gateway.grantor.decide(*ask, from, m_now);
+			const QuotaGrantAnswer answer = _gateway.grantor.decide(*ask, from, m_now);
 			_gateway.outbox.push_back({_datagram.to, _datagram.from, answer});
 			++m_asks;
 		}
-		else if (const auto* answer = std::get_if<QuotaAnswer>(&_datagram.message))
+		else if (const auto* answer = std::get_if<QuotaGrantAnswer>(&_datagram.message))
 		{
 			_gateway.admission->onAnswer(from, *answer, m_now);
 		}
-		else if (const auto* unused = std::get_if<QuotaReturn>(&_datagram.message))
+		else if (const auto* unused = std::get_if<QuotaGrantReturn>(&_datagram.message))
 		{
 			_gateway.grantor.onReturn(*unused, m_now);
 		}
--- a/tests/quotaadmissiontest.cpp
+++ b/tests/quotaadmissiontest.cpp
@@ -83,14 +83,14 @@
 		return verdict;
 	}
 
-	QuotaAsk lastAsk() const
+	QuotaGrantRequest lastAsk() const
 	{
-		return std::get<QuotaAsk>(sent.back().second);
+		return std::get<QuotaGrantRequest>(sent.back().second);
 	}
 
 	void answer(GrantOutcome _outcome, Micros _wait = 0, Micros _hold = 0)
 	{
-		const QuotaAsk ask = lastAsk();
+		const QuotaGrantRequest ask = lastAsk();
 		asker.admission.onAnswer(sent.back().first, {ask.id, _outcome, _wait, _hold, ask.team, ask.amount}, now);
 	}
 
@@ -148,7 +148,7 @@
 	poll(ticket, QuotaAdmission::kRepeatAfter + 2 * kStep);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[0].first, sent[1].first);
-	EXPECT_EQ(std::get<QuotaAsk>(sent[0].second).id, lastAsk().id);
+	EXPECT_EQ(std::get<QuotaGrantRequest>(sent[0].second).id, lastAsk().id);
 	poll(ticket, QuotaAdmission::kPatience - QuotaAdmission::kRepeatAfter);
 	ASSERT_EQ(sent.size(), 3u);
 	EXPECT_NE(sent[2].first, sent[0].first);
@@ -181,7 +181,7 @@
 	answer(GrantOutcome::Granted);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[1].first, sent[0].first);
-	EXPECT_EQ(std::get<QuotaReturn>(sent[1].second).amount, 1.0);
+	EXPECT_EQ(std::get<QuotaGrantReturn>(sent[1].second).amount, 1.0);
 	EXPECT_EQ(decided, 0);
 }
 
@@ -194,7 +194,7 @@
 	asker.admission.giveBack(ticket, kTeam, 1.0, now);
 	asker.admission.giveBack(ticket, kTeam, 1.0, now);
 	ASSERT_EQ(sent.size(), 2u);
-	EXPECT_EQ(std::get<QuotaReturn>(sent[1].second).team, kTeam);
+	EXPECT_EQ(std::get<QuotaGrantReturn>(sent[1].second).team, kTeam);
 }
 
 TEST_F(QuotaAdmissionTest, oneThatWillKnowSoonIsAskedAgain)
@@ -244,7 +244,7 @@
 class QuotaGrantorTest : public testing::Test
 {
 protected:
-	QuotaAnswer ask(const std::string& _asker, std::uint64_t _id)
+	QuotaGrantAnswer ask(const std::string& _asker, std::uint64_t _id)
 	{
 		return member.grantor.decide({_id, kTeam, 1.0}, _asker, now);
 	}
--- a/tests/quotacodectest.cpp
+++ b/tests/quotacodectest.cpp
@@ -19,9 +19,9 @@
 {
 namespace
 {
-const QuotaAsk kAsk{1234567890123, "fleet-a", 4711.5};
-const QuotaAnswer kAnswer{1234567890123, GrantOutcome::Refused, 250'000, 300'000, "fleet-a", 4711.5};
-const QuotaReturn kReturn{"fleet-a", 4711.5};
+const QuotaGrantRequest kAsk{1234567890123, "fleet-a", 4711.5};
+const QuotaGrantAnswer kAnswer{1234567890123, GrantOutcome::Refused, 250'000, 300'000, "fleet-a", 4711.5};
+const QuotaGrantReturn kReturn{"fleet-a", 4711.5};
 
 void expectSame(const std::string& _bytes, const QuotaMessage& _message)
 {
@@ -46,7 +46,7 @@
 {
 	const auto read = decodeQuota(encodeQuota(kAnswer));
 	ASSERT_TRUE(read);
-	const auto& answer = std::get<QuotaAnswer>(*read);
+	const auto& answer = std::get<QuotaGrantAnswer>(*read);
 	EXPECT_EQ(answer.id, kAnswer.id);
 	EXPECT_EQ(answer.outcome, kAnswer.outcome);
 	EXPECT_EQ(answer.wait, kAnswer.wait);
