--- a/src/coordination/quotaadmission.cpp
+++ b/src/coordination/quotaadmission.cpp
@@ -122,7 +122,7 @@
 	}
 	if (_pending.state == State::Waiting)
 	{
-		return {QuotaBound::Unproved, kPatience};
+		return {QuotaRefusalReason::Pending, kPatience};
 	}
 	return finish(_ticket, _pending, _now);
 }
--- a/src/coordination/quotaadmission.h
+++ b/src/coordination/quotaadmission.h
@@ -86,7 +86,8 @@
 		m_holds.clear();
 	}
 
-	/// Decides on a request; to be called again with the same ticket while the verdict is QuotaBound::Unproved.
+	/// Decides on a request; to be called again with the same ticket while the verdict is
+	/// QuotaRefusalReason::Pending.
 	/// @param[in] _decided Called once an answer has come.
 	QuotaVerdict take(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now,
 					  Decided _decided);
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -42,21 +42,21 @@
 constexpr double kRefusedMuch = 1.2;
 } // namespace
 
-std::string_view toString(QuotaBound _bound)
+std::string_view toString(QuotaRefusalReason _bound)
 {
 	switch (_bound)
 	{
-	case QuotaBound::None:
+	case QuotaRefusalReason::None:
 		return "none";
-	case QuotaBound::Level:
+	case QuotaRefusalReason::Level:
 		return "level";
-	case QuotaBound::Part:
+	case QuotaRefusalReason::Throttled:
 		return "part";
-	case QuotaBound::OwnShare:
+	case QuotaRefusalReason::OwnShare:
 		return "own-share";
-	case QuotaBound::Grantor:
+	case QuotaRefusalReason::Grantor:
 		return "grantor";
-	case QuotaBound::Unproved:
+	case QuotaRefusalReason::Pending:
 		return "unproved";
 	}
 	return "unknown";
@@ -330,7 +330,7 @@
 		// What the others took meanwhile is told within moments. Decided before, a third of 77 gateways that stood
 		// still let through what came meanwhile by the level of before, and were refused what the level of now
 		// allows (quotastalltest).
-		return {QuotaBound::Unproved, FleetLiveness::kResumeTimeout};
+		return {QuotaRefusalReason::Pending, FleetLiveness::kResumeTimeout};
 	}
 	recordSilentShare(team, _now);
 	const Standing standing = standingOf(team, _now);
@@ -345,7 +345,7 @@
 		if (!isRefusedMuch(team, _now))
 		{
 			team.admitted = admittedBefore;
-			return {QuotaBound::Unproved, kLongestWaitForWord};
+			return {QuotaRefusalReason::Pending, kLongestWaitForWord};
 		}
 		passes = false;
 	}
@@ -353,7 +353,7 @@
 	if (!passes)
 	{
 		const QuotaVerdict verdict = refusal(team, standing, _amount);
-		++team.tally.refused[verdict.bound];
+		++team.tally.refused[verdict.reason];
 		return verdict;
 	}
 	team.admitted = std::max(0.0, team.admitted - 1.0);
@@ -372,10 +372,10 @@
 QuotaVerdict QuotaLedger::refusal(const Team& _team, const Standing& _standing, double _amount)
 {
 	const bool byShare = _standing.alone && _standing.own <= _standing.level;
-	const QuotaBound bound = byShare                 ? QuotaBound::OwnShare
-							 : _standing.level > 0.0 ? QuotaBound::Part
-													 : QuotaBound::Level;
-	return {bound, waitAt(_standing.level, _team, _amount)};
+	const QuotaRefusalReason reason = byShare                 ? QuotaRefusalReason::OwnShare
+									  : _standing.level > 0.0 ? QuotaRefusalReason::Throttled
+															  : QuotaRefusalReason::Level;
+	return {reason, waitAt(_standing.level, _team, _amount)};
 }
 
 Micros QuotaLedger::waitAt(double _level, const Team& _team, double _amount)
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -37,14 +37,14 @@
 };
 
 /// By what a request was refused.
-enum class QuotaBound : std::uint8_t
+enum class QuotaRefusalReason : std::uint8_t
 {
-	None,     ///< It was not.
-	Level,    ///< Nothing is left of the team's bucket, as far as is known.
-	Part,     ///< Something is left, but not for all that ask for it at all gateways.
-	OwnShare, ///< The others are not heard, and this gateway has had its share.
-	Grantor,  ///< The gateway that grants for the team has none left.
-	Unproved, ///< What is left will be known as the others are heard, within moments: the request has to wait.
+	None,      ///< It was not.
+	Level,     ///< Nothing is left of the team's bucket, as far as is known.
+	Throttled, ///< Something is left, but not for all that ask for it at all gateways.
+	OwnShare,  ///< The others are not heard, and this gateway has had its share.
+	Grantor,   ///< The gateway that grants for the team has none left.
+	Pending,   ///< What is left will be known as the others are heard, within moments: the request has to wait.
 };
 
 /// By which rule a request is admitted.
@@ -63,18 +63,18 @@
 };
 
 /// @returns the name used in logs.
-std::string_view toString(QuotaBound _bound);
+std::string_view toString(QuotaRefusalReason _bound);
 
 /// What became of a request.
 struct QuotaVerdict
 {
-	QuotaBound bound = QuotaBound::None;
+	QuotaRefusalReason reason = QuotaRefusalReason::None;
 	Micros wait = 0; ///< Until it is likely to pass.
 
 	/// @returns whether the amount was taken.
 	bool passes() const
 	{
-		return bound == QuotaBound::None;
+		return reason == QuotaRefusalReason::None;
 	}
 };
 
@@ -92,8 +92,8 @@
 {
 	std::string team;
 	std::size_t passed = 0;
-	std::map<QuotaBound, std::size_t> refused; ///< By what.
-	std::size_t grants = 0;                    ///< That this gateway gave, to requests here and elsewhere.
+	std::map<QuotaRefusalReason, std::size_t> refused; ///< By what.
+	std::size_t grants = 0;                            ///< That this gateway gave, to requests here and elsewhere.
 	std::size_t grantsRefused = 0;
 	double level = 0.0;  ///< Of the bucket at the end of the span.
 	double demand = 0.0; ///< That all gateways are taken to be asked for, a second's worth.
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -83,7 +83,7 @@
 	if (!passes)
 	{
 		const QuotaVerdict verdict = refusal(team, standing, _amount);
-		++team.tally.refused[verdict.bound];
+		++team.tally.refused[verdict.reason];
 		return verdict;
 	}
 	pass(team, _amount, _now);
@@ -149,12 +149,12 @@
 
 QuotaVerdict QuotaLedger::onGrantRefused(const std::string& _team, double _amount, Micros _wait, Micros _now)
 {
-	const QuotaVerdict verdict{QuotaBound::Grantor, std::clamp<Micros>(_wait, kMillisecond, kLongestWait)};
+	const QuotaVerdict verdict{QuotaRefusalReason::Grantor, std::clamp<Micros>(_wait, kMillisecond, kLongestWait)};
 	const auto it = m_teams.find(_team);
 	if (it != m_teams.end())
 	{
 		it->second.rate.onDecided(_amount, false, _now);
-		++it->second.tally.refused[verdict.bound];
+		++it->second.tally.refused[verdict.reason];
 	}
 	return verdict;
 }
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -200,13 +200,13 @@
 	};
 	const QuotaVerdict verdict =
 		m_context.admission.take(m_quotaTicket, m_team->name, amount, monotonicNow(), decided);
-	if (verdict.bound == QuotaBound::Unproved)
+	if (verdict.reason == QuotaRefusalReason::Pending)
 	{
 		return false;
 	}
 	if (!verdict.passes())
 	{
-		refuse(Failure::QuotaExceeded, "over the team's quota: " + std::string(toString(verdict.bound)),
+		refuse(Failure::QuotaExceeded, "over the team's quota: " + std::string(toString(verdict.reason)),
 			   verdict.wait);
 		return false;
 	}
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -203,9 +203,9 @@
 	for (const QuotaTally& tally : m_context.quotas.takeTallies(_now))
 	{
 		std::string refused;
-		for (const auto& [bound, count] : tally.refused)
+		for (const auto& [reason, count] : tally.refused)
 		{
-			refused += (refused.empty() ? "" : ",") + std::string(toString(bound)) + ':' + std::to_string(count);
+			refused += (refused.empty() ? "" : ",") + std::string(toString(reason)) + ':' + std::to_string(count);
 		}
 		logEvent(LogLevel::Info, "quota-refused",
 				 {{"team", tally.team},
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -384,7 +384,7 @@
 			}
 			++m_answered;
 			m_refused += verdict.passes() ? 0 : 1;
-			++m_bounds[verdict.bound];
+			++m_bounds[verdict.reason];
 			m_taken[m_now] += verdict.passes() ? arrived.amount : 0.0;
 		}
 		_gateway.backlog = std::move(undecided);
@@ -392,7 +392,7 @@
 
 	static bool isUndecided(const QuotaVerdict& _verdict)
 	{
-		return _verdict.bound == QuotaBound::Unproved;
+		return _verdict.reason == QuotaRefusalReason::Pending;
 	}
 
 	void send(unsigned _from, unsigned _to, GossipMessage _message)
@@ -583,7 +583,7 @@
 	std::minstd_rand m_random;
 	std::map<Micros, double> m_taken;
 	std::size_t m_refused = 0;
-	std::map<QuotaBound, std::size_t> m_bounds; ///< By which requests were refused.
+	std::map<QuotaRefusalReason, std::size_t> m_bounds; ///< By which requests were refused.
 	std::size_t m_answered = 0;
 	double m_asked = 0.0;
 	Micros m_now = kSecond;
--- a/tests/quotaadmissiontest.cpp
+++ b/tests/quotaadmissiontest.cpp
@@ -75,7 +75,7 @@
 	QuotaVerdict poll(QuotaTicket& _ticket, Micros _span)
 	{
 		QuotaVerdict verdict = take(_ticket);
-		for (const Micros end = now + _span; now < end && verdict.bound == QuotaBound::Unproved;)
+		for (const Micros end = now + _span; now < end && verdict.reason == QuotaRefusalReason::Pending;)
 		{
 			pass(kStep);
 			verdict = take(_ticket);
@@ -104,7 +104,7 @@
 TEST_F(QuotaAdmissionTest, aGrantedRequestPassesAndIsCountedByTheGrantorAlone)
 {
 	QuotaTicket ticket;
-	EXPECT_EQ(take(ticket).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(ticket).reason, QuotaRefusalReason::Pending);
 	ASSERT_EQ(sent.size(), 1u);
 	answer(GrantOutcome::Granted);
 	EXPECT_EQ(decided, 1);
@@ -119,15 +119,15 @@
 	take(first);
 	answer(GrantOutcome::Refused, 200 * kMillisecond, 300 * kMillisecond);
 	const QuotaVerdict refused = take(first);
-	EXPECT_EQ(refused.bound, QuotaBound::Grantor);
+	EXPECT_EQ(refused.reason, QuotaRefusalReason::Grantor);
 	EXPECT_EQ(refused.wait, 300 * kMillisecond);
 	pass(100 * kMillisecond);
 	QuotaTicket second;
-	EXPECT_EQ(take(second).bound, QuotaBound::Grantor);
+	EXPECT_EQ(take(second).reason, QuotaRefusalReason::Grantor);
 	EXPECT_EQ(sent.size(), 1u);
 	pass(200 * kMillisecond);
 	QuotaTicket third;
-	EXPECT_EQ(take(third).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(third).reason, QuotaRefusalReason::Pending);
 	EXPECT_EQ(sent.size(), 2u);
 }
 
@@ -139,7 +139,7 @@
 	take(first);
 	asker.admission.onLimitsChanged();
 	QuotaTicket second;
-	EXPECT_EQ(take(second).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(second).reason, QuotaRefusalReason::Pending);
 }
 
 TEST_F(QuotaAdmissionTest, aSilentGrantorIsAskedTwiceThenAnotherOneAndLaterItIsPassedOver)
@@ -166,7 +166,7 @@
 	QuotaTicket ticket;
 	take(ticket);
 	now += 3 * kSecond;
-	EXPECT_EQ(take(ticket).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(ticket).reason, QuotaRefusalReason::Pending);
 	EXPECT_EQ(sent.size(), 1u);
 	answer(GrantOutcome::Granted);
 	EXPECT_TRUE(take(ticket).passes());
@@ -214,7 +214,7 @@
 	{
 		QuotaTicket ticket;
 		const QuotaVerdict verdict = poll(ticket, 2 * QuotaAdmission::kLongestAsk);
-		ASSERT_NE(verdict.bound, QuotaBound::Unproved) << "a request is decided on in time";
+		ASSERT_NE(verdict.reason, QuotaRefusalReason::Pending) << "a request is decided on in time";
 		passed += verdict.passes() ? 1.0 : 0.0;
 		pass(100 * kMillisecond);
 	}
