--- a/src/coordination/fleetliveness.cpp
+++ b/src/coordination/fleetliveness.cpp
@@ -25,12 +25,12 @@
 
 Micros FleetLiveness::silenceTimeout() const
 {
-	return std::max(kSilenceTimeout, 2 * GossipPlan::hearingSpan(m_members));
+	return std::max(kSilenceTimeout, 2 * GossipPlan::propagationDelay(m_members));
 }
 
 void FleetLiveness::onTime(Micros _now)
 {
-	m_stall.onTime(_now, kRoundsRunning * GossipPlan::roundSpan(m_members));
+	m_stall.onTime(_now, kRoundsRunning * GossipPlan::roundInterval(m_members));
 }
 
 Micros FleetLiveness::silentSince(const Word& _word) const
--- a/src/coordination/gossipplan.h
+++ b/src/coordination/gossipplan.h
@@ -18,7 +18,7 @@
 namespace beacongate
 {
 /// Parts of a message that not every receiver needs each time.
-struct GossipParts
+struct GossipSections
 {
 	bool usage = true;
 	bool members = true;
@@ -29,7 +29,7 @@
 {
 public:
 	/// Members and usage go to everybody once in so many rounds.
-	static constexpr std::size_t kFullEvery = 8;
+	static constexpr std::size_t kFullReportRounds = 8;
 
 	/// @returns whether gateways report to the collectors of their data centre instead of to each other.
 	static constexpr bool usesCollectors(std::size_t _members)
@@ -38,7 +38,7 @@
 	}
 
 	/// @returns the pause between two rounds.
-	static constexpr Micros roundSpan(std::size_t _members)
+	static constexpr Micros roundInterval(std::size_t _members)
 	{
 		return usesCollectors(_members) ? limits::kCollectorRound : limits::kGossipRound;
 	}
@@ -46,7 +46,7 @@
 	/// @returns the span within which one gateway's news reach another: a round, or one to a collector, one to the
 	/// collector of another data centre and one from there. Half of it is how old they are on average: 0.32 s to
 	/// 0.40 s in fleets of 300 to 3,100 (fleettabletest).
-	static constexpr Micros hearingSpan(std::size_t _members)
+	static constexpr Micros propagationDelay(std::size_t _members)
 	{
 		return usesCollectors(_members) ? 3 * limits::kCollectorRound : limits::kGossipRound;
 	}
@@ -78,10 +78,10 @@
 	/// @param[in] _round Counts up from 0, where everything is sent.
 	/// @returns the parts for a receiver. In a crowd, counts of usage are for the holder, and all others keep
 	/// copies that may be older.
-	static GossipParts partsFor(const std::string& _target, const std::optional<std::string>& _holder,
-								bool _crowded, std::size_t _round)
+	static GossipSections sectionsFor(const std::string& _target, const std::optional<std::string>& _holder,
+									  bool _crowded, std::size_t _round)
 	{
-		const bool full = !_crowded || _round % kFullEvery == 0;
+		const bool full = !_crowded || _round % kFullReportRounds == 0;
 		return {full || !_holder || *_holder == _target, full};
 	}
 };
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -149,9 +149,9 @@
 	m_liveness.onTime(_now);
 }
 
-double QuotaLedger::hearingSpan() const
+double QuotaLedger::propagationDelay() const
 {
-	return secondsOf(GossipPlan::hearingSpan(m_liveness.members()));
+	return secondsOf(GossipPlan::propagationDelay(m_liveness.members()));
 }
 
 bool QuotaLedger::alone(Micros _now) const
@@ -212,7 +212,7 @@
 
 double QuotaLedger::admittedPart(const Team& _team, double _level, double _amount, Micros _now) const
 {
-	const double span = hearingSpan();
+	const double span = propagationDelay();
 	const double room = _level + _team.bucket.rate() * span;
 	const double asked = demand(_team, _amount, _now) * span;
 	const double few = kFewRequests * _amount;
@@ -226,13 +226,13 @@
 double QuotaLedger::secondsLate(Micros _now) const
 {
 	const Micros age = std::min(m_liveness.age(_now), m_liveness.silenceTimeout());
-	return std::max(0.0, secondsOf(age) - kMeanDelay * hearingSpan());
+	return std::max(0.0, secondsOf(age) - kMeanDelay * propagationDelay());
 }
 
 double QuotaLedger::unheard(const Team& _team, Micros _now) const
 {
 	const double others = _team.rate.others(m_liveness.last());
-	const double usual = kMeanDelay * hearingSpan();
+	const double usual = kMeanDelay * propagationDelay();
 	// Half of it suffices for a team that is refused nothing here: held back whole, a team that asks for 0.6 of its
 	// limit was refused up to 3 in 1,000 requests as a third of the gateways went on after a stall
 	// (quotastalltest).
@@ -288,7 +288,7 @@
 {
 	// Who hears nothing is not heard either, as far as it knows, however long that lasts.
 	const double sinceWord = _team.words == m_words ? _team.takenSinceWord : 0.0;
-	const Micros spanStart = _now - GossipPlan::hearingSpan(m_liveness.members());
+	const Micros spanStart = _now - GossipPlan::propagationDelay(m_liveness.members());
 	return std::max(_team.own.takenSince(spanStart), sinceWord);
 }
 
@@ -299,7 +299,7 @@
 	{
 		return false;
 	}
-	const double span = hearingSpan();
+	const double span = propagationDelay();
 	const double here = takenLately(_team, _now);
 	// What all may take before they hear of each other, were none of them to have taken anything of it yet.
 	const double all = std::max(0.0, _standing.level) + here + _team.bucket.rate() * span;
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -279,7 +279,7 @@
 	/// @returns whether this gateway has had its part of what all may take before they hear of each other.
 	bool exceedsPart(const Team& _team, const Standing& _standing, double _amount, Micros _now) const;
 	/// @returns the span within which one gateway's news reach the others, in seconds.
-	double hearingSpan() const;
+	double propagationDelay() const;
 	static QuotaVerdict refusal(const Team& _team, const Standing& _standing, double _amount);
 	/// @returns how long a request has to wait at a level.
 	static Micros waitAt(double _level, const Team& _team, double _amount);
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -22,7 +22,7 @@
 
 double QuotaLedger::unheardOfOthers(const Team& _team, Micros _now) const
 {
-	return _team.rate.others(m_liveness.last()) * (kMeanDelay * hearingSpan() + secondsLate(_now));
+	return _team.rate.others(m_liveness.last()) * (kMeanDelay * propagationDelay() + secondsLate(_now));
 }
 
 double QuotaLedger::requestsPerSecond(const Team& _team, double _mean)
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -142,7 +142,7 @@
 	m_context.admission.setGrantors(m_context.relays.allHeads());
 	logGrantorNotices();
 	m_context.retryBudget.setMembers(members);
-	m_context.balancer.setPeerLoadLife(std::max(kSecond, kLoadPatience * GossipPlan::hearingSpan(members)));
+	m_context.balancer.setPeerLoadLife(std::max(kSecond, kLoadPatience * GossipPlan::propagationDelay(members)));
 	m_context.balancer.setManyGateways(m_context.usesCollectors());
 	m_context.balancer.expirePeerLoads(now);
 	if (m_context.usesCollectors())
@@ -154,7 +154,7 @@
 		sendToPeers(now);
 	}
 	++m_round;
-	const Micros pause = m_context.jittered(GossipPlan::roundSpan(members));
+	const Micros pause = m_context.jittered(GossipPlan::roundInterval(members));
 	m_due = now + pause;
 	m_timer.expires_after(std::chrono::microseconds(pause));
 	m_timer.async_wait(
@@ -268,7 +268,7 @@
 	for (const std::string& host : targets)
 	{
 		GossipMessage message = whole;
-		const GossipParts parts = GossipPlan::partsFor(host, holder, crowded, m_round);
+		const GossipSections parts = GossipPlan::sectionsFor(host, holder, crowded, m_round);
 		if (!parts.usage)
 		{
 			message.usage.clear();
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -311,7 +311,7 @@
 		}
 		if (m_now >= gateway.due)
 		{
-			gateway.due = m_now + GossipPlan::roundSpan(m_load.gateways);
+			gateway.due = m_now + GossipPlan::roundInterval(m_load.gateways);
 			GossipPlan::usesCollectors(m_load.gateways) ? speak(_number) : speakToAll(_number);
 		}
 	}
--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -42,13 +42,13 @@
 
 TEST(GossipPlan, sendsUsageToTheHolderEachRoundAndToAllNowAndThen)
 {
-	EXPECT_TRUE(GossipPlan::partsFor("a", "a", true, 3).usage);
-	EXPECT_FALSE(GossipPlan::partsFor("b", "a", true, 3).usage);
-	EXPECT_FALSE(GossipPlan::partsFor("a", "a", true, 3).members);
-	EXPECT_TRUE(GossipPlan::partsFor("b", std::nullopt, true, 3).usage) << "nobody is known to hold the duties";
-	EXPECT_TRUE(GossipPlan::partsFor("b", "a", true, 0).usage);
-	EXPECT_TRUE(GossipPlan::partsFor("b", "a", false, 3).usage) << "all are reached in each round";
-	EXPECT_TRUE(GossipPlan::partsFor("b", "a", true, GossipPlan::kFullEvery).members);
+	EXPECT_TRUE(GossipPlan::sectionsFor("a", "a", true, 3).usage);
+	EXPECT_FALSE(GossipPlan::sectionsFor("b", "a", true, 3).usage);
+	EXPECT_FALSE(GossipPlan::sectionsFor("a", "a", true, 3).members);
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", std::nullopt, true, 3).usage) << "nobody is known to hold the duties";
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", true, 0).usage);
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", false, 3).usage) << "all are reached in each round";
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", true, GossipPlan::kFullReportRounds).members);
 }
 
 RC_GTEST_PROP(AttemptPolicy, keepsPromisesAndBounds, (const std::vector<std::uint8_t>& results, bool repeatable))
