--- a/src/coordination/fleetfollower.cpp
+++ b/src/coordination/fleetfollower.cpp
@@ -36,7 +36,7 @@
 }
 } // namespace
 
-void FleetFollower::onReported(Micros _sent, FleetSums _own)
+void FleetFollower::onReportSent(Micros _sent, FleetSums _own)
 {
 	m_reported.push_back({_sent, std::move(_own)});
 	if (m_reported.size() > kReports)
@@ -45,7 +45,7 @@
 	}
 }
 
-std::optional<FleetSums> FleetFollower::othersIn(const GossipMessage& _sums)
+std::optional<FleetSums> FleetFollower::sumsOfOthers(const GossipMessage& _sums)
 {
 	const auto reported = std::find_if(m_reported.begin(), m_reported.end(),
 									   [&](const Reported& _reported) { return _reported.sent == _sums.echo; });
--- a/src/coordination/fleetfollower.h
+++ b/src/coordination/fleetfollower.h
@@ -24,11 +24,11 @@
 	/// A report was sent.
 	/// @param[in] _sent The stamp that the collector echoes.
 	/// @param[in] _own All counters and loads at that moment, also those that the report left out.
-	void onReported(Micros _sent, FleetSums _own);
+	void onReportSent(Micros _sent, FleetSums _own);
 
 	/// @returns what the other gateways did; nothing where the sums answer no report that is remembered.
 	/// @remarks Counters begin anywhere and then grow with what the others do for as long as the collector runs.
-	std::optional<FleetSums> othersIn(const GossipMessage& _sums);
+	std::optional<FleetSums> sumsOfOthers(const GossipMessage& _sums);
 
 private:
 	struct Reported
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -341,7 +341,7 @@
 	const auto heads = m_context.relays.heads(dataCentre, RelayChoice::kHeads);
 	const bool collecting = collects();
 	GossipMessage report = describe(_now);
-	m_follower.onReported(_now, ownSums());
+	m_follower.onReportSent(_now, ownSums());
 	if (collecting)
 	{
 		m_table.onReport(report, _now);
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -224,7 +224,7 @@
 	{
 		return;
 	}
-	std::optional<FleetSums> others = m_follower.othersIn(_message);
+	std::optional<FleetSums> others = m_follower.sumsOfOthers(_message);
 	if (!others)
 	{
 		return;
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -423,7 +423,7 @@
 		FleetSums own;
 		own.gateways = 1;
 		own.quotas = report.quotas;
-		gateway.follower.onReported(m_now, own);
+		gateway.follower.onReportSent(m_now, own);
 		const bool collects = _number < 2 * kDataCentres;
 		if (collects)
 		{
@@ -552,7 +552,7 @@
 
 	void hearFleet(Gateway& _gateway, const GossipMessage& _message)
 	{
-		const auto others = _gateway.follower.othersIn(_message);
+		const auto others = _gateway.follower.sumsOfOthers(_message);
 		if (!others)
 		{
 			return;
--- a/tests/fleettabletest.cpp
+++ b/tests/fleettabletest.cpp
@@ -167,7 +167,7 @@
 		FleetSums reported;
 		reported.quotas = mine.quotas;
 		reported.loads = mine.loads;
-		follower.onReported(now, reported);
+		follower.onReportSent(now, reported);
 		if (step % 6 == 0)
 		{
 			continue; // The report is lost.
@@ -179,7 +179,7 @@
 		GossipMessage sums = sumsOf(table.fleetSums(), "10.0.0.9", "a");
 		sums.kind = GossipKind::FleetSums;
 		sums.echo = mine.sent;
-		const auto rest = follower.othersIn(sums);
+		const auto rest = follower.sumsOfOthers(sums);
 		RC_ASSERT(rest.has_value());
 		RC_ASSERT(inFlightIn(*rest, backend) == 3u);
 		RC_ASSERT(rest->gateways == 1u);
@@ -188,7 +188,7 @@
 	}
 	GossipMessage unknown;
 	unknown.echo = now + 1;
-	RC_ASSERT(!follower.othersIn(unknown));
+	RC_ASSERT(!follower.sumsOfOthers(unknown));
 }
 
 TEST(UsageLedger, sumsOfADataCentreSurviveItsCollectorsAndAllGateways)
@@ -355,7 +355,7 @@
 			FleetSums own;
 			own.quotas = report.quotas;
 			own.loads = report.loads;
-			gateway.follower.onReported(m_now, own);
+			gateway.follower.onReportSent(m_now, own);
 			send(_number, gateway.first, report);
 			return;
 		}
@@ -394,7 +394,7 @@
 				const auto sender = static_cast<unsigned>(std::stoul(message->run.name.substr(1)));
 				send(datagram.to, sender, sums);
 			}
-			else if (const auto others = receiver.follower.othersIn(*message))
+			else if (const auto others = receiver.follower.sumsOfOthers(*message))
 			{
 				receiver.known = takenIn(*others);
 			}
@@ -533,10 +533,10 @@
 		hear(first, report.host, report, 1);
 		FleetSums own;
 		own.quotas = report.quotas;
-		gateway.follower.onReported(m_now, own);
+		gateway.follower.onReportSent(m_now, own);
 		GossipMessage sums = sumsOf(first.table.fleetSums(), "collector", "a");
 		sums.echo = m_now;
-		const auto others = gateway.follower.othersIn(sums);
+		const auto others = gateway.follower.sumsOfOthers(sums);
 		ASSERT_TRUE(others);
 		sums.quotas = others->quotas;
 		hear(gateway, "fleet", sums, others->gateways);
