--- a/src/coordination/collectorwatch.cpp
+++ b/src/coordination/collectormonitor.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 
 #include <algorithm>
 
@@ -12,9 +12,9 @@
 constexpr Micros kLongestRound = 2 * limits::kCollectorRound; ///< While the process runs.
 } // namespace
 
-std::vector<std::string> CollectorWatch::takeSilent(Micros _now,
-													const std::function<Micros(const std::string&)>& _heard,
-													const std::vector<std::string>& _spokenTo)
+std::vector<std::string> CollectorMonitor::takeSilent(Micros _now,
+													  const std::function<Micros(const std::string&)>& _heard,
+													  const std::vector<std::string>& _spokenTo)
 {
 	m_stall.onTime(_now, kLongestRound);
 	std::vector<std::string> silent;
--- a/src/coordination/collectorwatch.h
+++ b/src/coordination/collectormonitor.h
@@ -4,8 +4,8 @@
 /// @file
 /// Which collectors do not answer.
 
-#ifndef BEACONGATE_COORDINATION_COLLECTORWATCH_H
-#define BEACONGATE_COORDINATION_COLLECTORWATCH_H
+#ifndef BEACONGATE_COORDINATION_COLLECTORMONITOR_H
+#define BEACONGATE_COORDINATION_COLLECTORMONITOR_H
 
 #include "beacongate/limits.h"
 #include "coordination/stalldetector.h"
@@ -18,14 +18,14 @@
 namespace beacongate
 {
 /// Remembers which collectors were spoken to and should be heard since.
-class CollectorWatch
+class CollectorMonitor
 {
 public:
 	/// A collector that should have been heard for this long, three rounds, is silent.
 	static constexpr Micros kSilenceTimeout = 3 * limits::kCollectorRound + 50 * kMillisecond;
 
 	/// A collector was spoken to, and answers if it can.
-	void onAsked(const std::string& _host, Micros _now)
+	void onContacted(const std::string& _host, Micros _now)
 	{
 		m_askedSince.try_emplace(_host, _now);
 	}
@@ -48,4 +48,4 @@
 
 } // namespace beacongate
 
-#endif // BEACONGATE_COORDINATION_COLLECTORWATCH_H
+#endif // BEACONGATE_COORDINATION_COLLECTORMONITOR_H
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -363,7 +363,7 @@
 		send(report, host);
 		if (collecting || report.wantsSums)
 		{
-			m_watch.onAsked(host, _now);
+			m_watch.onContacted(host, _now);
 		}
 	}
 	if (m_round % kProbedEvery == 0)
@@ -423,7 +423,7 @@
 		targets.insert(heads.begin(), heads.end());
 		for (const std::string& host : heads)
 		{
-			m_watch.onAsked(host, _now);
+			m_watch.onContacted(host, _now);
 			m_collectors.push_back(host);
 		}
 		if (m_round % kProbedEvery == 0)
--- a/src/gateway/gossiper.h
+++ b/src/gateway/gossiper.h
@@ -7,7 +7,7 @@
 #ifndef BEACONGATE_GATEWAY_GOSSIPER_H
 #define BEACONGATE_GATEWAY_GOSSIPER_H
 
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 #include "coordination/fleetfollower.h"
 #include "coordination/fleettable.h"
 #include "gateway/gatewaycontext.h"
@@ -102,7 +102,7 @@
 	/// Their runs, as far as they were heard, and the round until which they are told of all teams.
 	std::map<std::string, std::uint64_t> m_collectorRuns;
 	std::size_t m_tellAllUntil = 0;
-	CollectorWatch m_watch;
+	CollectorMonitor m_watch;
 	std::uint64_t m_unreadable = 0; ///< Datagrams.
 };
 
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -11,7 +11,7 @@
 /// each serves what came meanwhile by what it knew before.
 
 #include "collectorfleet.h"
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 
 #include <gtest/gtest.h>
 
@@ -91,7 +91,7 @@
 {
 	constexpr Micros kRound = limits::kCollectorRound;
 	const std::vector<std::string> heads{"a", "b"};
-	CollectorWatch watch;
+	CollectorMonitor watch;
 	Micros now = kSecond;
 	Micros heard = now;
 	const auto heardAt = [&heard](const std::string&)
@@ -102,13 +102,13 @@
 	{
 		now += kRound;
 		EXPECT_TRUE(watch.takeSilent(now, heardAt, heads).empty());
-		watch.onAsked("a", now);
-		watch.onAsked("b", now);
+		watch.onContacted("a", now);
+		watch.onContacted("b", now);
 		heard = now + kMillisecond;
 	}
 	now += 2500 * kMillisecond;
 	EXPECT_TRUE(watch.takeSilent(now, heardAt, heads).empty()) << "it could hear nobody";
-	watch.onAsked("a", now);
+	watch.onContacted("a", now);
 	std::size_t silent = 0;
 	for (int round = 0; round < 4; ++round)
 	{
