--- a/src/coordination/quotaadmission.cpp
+++ b/src/coordination/quotaadmission.cpp
@@ -185,7 +185,7 @@
 	m_pending.erase(std::exchange(_ticket.id, 0));
 }
 
-void QuotaAdmission::giveBack(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now)
+void QuotaAdmission::refund(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now)
 {
 	if (!std::exchange(_ticket.passed, false))
 	{
@@ -193,7 +193,7 @@
 	}
 	if (_ticket.grantor.empty())
 	{
-		m_ledger.giveBack(_team, _amount, _now);
+		m_ledger.refund(_team, _amount, _now);
 		return;
 	}
 	m_ledger.onGrantUnused(_team, _amount, _now);
--- a/src/coordination/quotaadmission.h
+++ b/src/coordination/quotaadmission.h
@@ -96,7 +96,7 @@
 	void abandon(QuotaTicket& _ticket);
 
 	/// A request that passed did not run.
-	void giveBack(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now);
+	void refund(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now);
 
 	/// A grantor's answer came.
 	void onAnswer(const std::string& _host, const QuotaGrantAnswer& _answer, Micros _now);
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -166,10 +166,10 @@
 		// Who else there is may not be known yet: a gateway that has just started knows of itself alone.
 		return m_liveness.members() <= 1 && _now - m_started < kMembersKnown;
 	}
-	return !m_adopted && _now - m_started < kSettling;
+	return !m_adopted && _now - m_started < kStartupSpan;
 }
 
-std::vector<QuotaLevel> QuotaLedger::levelsToTell(Micros _now) const
+std::vector<QuotaLevel> QuotaLedger::levelsToReport(Micros _now) const
 {
 	std::vector<QuotaLevel> levels;
 	// One that began with all others has heard of everything, one that was told goes on from there.
@@ -185,7 +185,7 @@
 	return levels;
 }
 
-void QuotaLedger::adopt(const std::vector<QuotaLevel>& _levels, Micros _now)
+void QuotaLedger::adoptLevels(const std::vector<QuotaLevel>& _levels, Micros _now)
 {
 	if (_levels.empty() || !settling(_now))
 	{
@@ -394,7 +394,7 @@
 	}
 }
 
-void QuotaLedger::giveBack(const std::string& _team, double _amount, Micros _now)
+void QuotaLedger::refund(const std::string& _team, double _amount, Micros _now)
 {
 	const auto it = m_teams.find(_team);
 	if (it != m_teams.end())
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -115,7 +115,7 @@
 {
 public:
 	/// For so long after a start in the middle of a day, a gateway has no full word of the others.
-	static constexpr Micros kSettling = 3 * kSecond;
+	static constexpr Micros kStartupSpan = 3 * kSecond;
 
 	/// A gateway that starts while the system runs does not know what was taken before. It begins with a part of
 	/// what was kept of a team's bucket, or with an empty one.
@@ -125,7 +125,7 @@
 	}
 
 	/// Names what was left of buckets before this gateway started; to be called before configure().
-	void setKeptLevels(std::map<std::string, std::uint64_t> _levels)
+	void setStoredLevels(std::map<std::string, std::uint64_t> _levels)
 	{
 		m_keptLevels = std::move(_levels);
 	}
@@ -141,12 +141,12 @@
 
 	/// @returns what a gateway that has just started is told of the teams' buckets; nothing where this one does not
 	/// know it for sure.
-	std::vector<QuotaLevel> levelsToTell(Micros _now) const;
+	std::vector<QuotaLevel> levelsToReport(Micros _now) const;
 
 	/// A gateway that has been running for long says what is left; taken in by one that has just started, once.
 	/// @remarks Without it, one that is restarted alone shares what was kept of a bucket with all others, as if
 	/// they had been restarted too, and refuses a team that asks for less than its limit for seconds.
-	void adopt(const std::vector<QuotaLevel>& _levels, Micros _now);
+	void adoptLevels(const std::vector<QuotaLevel>& _levels, Micros _now);
 
 	/// Sets the limits in force. A team without one takes freely.
 	void configure(const RoutingConfig& _config, Micros _now);
@@ -196,7 +196,7 @@
 	double requestsPerSecond(const std::string& _team) const;
 
 	/// Gives back what a request took that did not run.
-	void giveBack(const std::string& _team, double _amount, Micros _now);
+	void refund(const std::string& _team, double _amount, Micros _now);
 
 	/// A peer says what it has taken; to be called before onHeard() for the same message.
 	/// @param[in] incarnation The peer's run: its counts begin at 0.
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -473,7 +473,7 @@
 	}
 	if (m_team && m_quotaTaken > 0.0 && !m_mayHaveRun && m_sent == 0)
 	{
-		m_context.admission.giveBack(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
+		m_context.admission.refund(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
 	}
 	m_session->answer(
 		makeOwnAnswer(_status, _failure, _detail, _retryAfter, platform::ownAnswerHeaders(m_info.id)));
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -285,8 +285,8 @@
 
 std::vector<QuotaLevel> Gossiper::levelsFor(const std::string& _host, Micros _now) const
 {
-	const bool young = m_context.peers.isYoung(_host, QuotaLedger::kSettling);
-	return young ? m_context.quotas.levelsToTell(_now) : std::vector<QuotaLevel>();
+	const bool young = m_context.peers.isYoung(_host, QuotaLedger::kStartupSpan);
+	return young ? m_context.quotas.levelsToReport(_now) : std::vector<QuotaLevel>();
 }
 
 bool Gossiper::collects() const
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -191,7 +191,7 @@
 		{
 			takeCounters(_message.host, _message, _message.uptime, _now);
 			m_context.quotas.onHeard(_message.host, _now, _message.echo);
-			m_context.quotas.adopt(_message.levels, _now);
+			m_context.quotas.adoptLevels(_message.levels, _now);
 		}
 		m_context.balancer.setPeerLoads(_message.host, _message.loads, _now);
 	}
@@ -235,7 +235,7 @@
 	const std::string source = "fleet/" + _message.host;
 	takeCounters(source, rest, countingSince("fleet", source, _message.uptime), _now);
 	m_context.quotas.onSums("fleet", source, _now, _message.echo, others->gateways);
-	m_context.quotas.adopt(_message.levels, _now);
+	m_context.quotas.adoptLevels(_message.levels, _now);
 	m_context.balancer.setPeerLoads("fleet", std::move(others->loads), _now);
 }
 
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -507,7 +507,7 @@
 {
 	try
 	{
-		m_context.quotas.setKeptLevels(decodeTotals(_item.value));
+		m_context.quotas.setStoredLevels(decodeTotals(_item.value));
 	}
 	catch (const Error& error)
 	{
--- a/tests/quotaadmissiontest.cpp
+++ b/tests/quotaadmissiontest.cpp
@@ -191,8 +191,8 @@
 	take(ticket);
 	answer(GrantOutcome::Granted);
 	take(ticket);
-	asker.admission.giveBack(ticket, kTeam, 1.0, now);
-	asker.admission.giveBack(ticket, kTeam, 1.0, now);
+	asker.admission.refund(ticket, kTeam, 1.0, now);
+	asker.admission.refund(ticket, kTeam, 1.0, now);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(std::get<QuotaGrantReturn>(sent[1].second).team, kTeam);
 }
--- a/tests/quotafleet.h
+++ b/tests/quotafleet.h
@@ -66,7 +66,7 @@
 		for (QuotaLedger& ledger : m_ledgers)
 		{
 			ledger.setFirstStart(m_incarnation == 1);
-			ledger.setKeptLevels(kept);
+			ledger.setStoredLevels(kept);
 			ledger.setMembers(m_load.gateways);
 			ledger.configure(*m_config, m_now);
 		}
--- a/tests/quotatest.cpp
+++ b/tests/quotatest.cpp
@@ -88,7 +88,7 @@
 	QuotaLedger ledger;
 	ledger.setMembers(kGateways);
 	ledger.setFirstStart(false);
-	ledger.setKeptLevels({{"team", 1000}});
+	ledger.setStoredLevels({{"team", 1000}});
 	Micros now = kSecond;
 	ledger.configure(*limitedConfig(kRate, kRate), now);
 	double taken = 0.0;
@@ -295,7 +295,7 @@
 	{
 		QuotaLedger ledger;
 		ledger.setFirstStart(false);
-		ledger.setKeptLevels(std::move(_kept));
+		ledger.setStoredLevels(std::move(_kept));
 		ledger.configure(*config, kSecond);
 		double sum = 0.0;
 		while (ledger.take("team", 10.0, kSecond).passes())
@@ -330,7 +330,7 @@
 	QuotaLedger teller;
 	teller.setMembers(2);
 	teller.configure(*config, now - 30 * kSecond);
-	EXPECT_TRUE(teller.levelsToTell(now).empty()) << "it hears nobody";
+	EXPECT_TRUE(teller.levelsToReport(now).empty()) << "it hears nobody";
 	QuotaLedger starter;
 	starter.setFirstStart(false);
 	starter.setMembers(2);
@@ -340,7 +340,7 @@
 	starter.onReport("teller", 1, {"team", 5000.0}, now, 30 * kSecond);
 	starter.onHeard("teller", now, now);
 	EXPECT_FALSE(starter.take("team", 10.0, now).passes()) << "it does not know what is left";
-	starter.adopt(teller.levelsToTell(now), now);
+	starter.adoptLevels(teller.levelsToReport(now), now);
 	EXPECT_TRUE(starter.take("team", 10.0, now).passes());
 	starter.onReport("another", 1, {"team", 5000.0}, now, 20 * kSecond);
 	EXPECT_TRUE(starter.take("team", 10.0, now).passes()) << "what came before is in the level already";
