--- a/src/coordination/sharedretrybudget.h
+++ b/src/coordination/sharedretrybudget.h
@@ -60,7 +60,7 @@
 	}
 
 	/// Counts a repeat that is sent.
-	void onRepeat(const std::string& _service, Micros _now)
+	void onRetry(const std::string& _service, Micros _now)
 	{
 		m_services[_service].repeats.push_back(_now);
 	}
--- a/src/coordination/usageledger.h
+++ b/src/coordination/usageledger.h
@@ -49,7 +49,7 @@
 	}
 
 	/// A request of a team began to run here.
-	void onBegan(std::uint64_t _window, const std::string& _team)
+	void onRequestStarted(std::uint64_t _window, const std::string& _team)
 	{
 		++m_counts[{_window, m_self, _team}];
 	}
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -381,7 +381,7 @@
 		}
 		else
 		{
-			self->m_context.retryBudget.onRepeat(self->m_service, monotonicNow());
+			self->m_context.retryBudget.onRetry(self->m_service, monotonicNow());
 			self->chargeRepeat();
 		}
 		++self->m_sent;
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -77,7 +77,7 @@
 	}
 	m_usageCounted = true;
 	const Micros began = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
-	m_context.usage.onBegan(m_context.currentWindow(began), m_team->name);
+	m_context.usage.onRequestStarted(m_context.currentWindow(began), m_team->name);
 }
 
 void Exchange::onBody(std::string_view _bytes)
--- a/tests/fleettabletest.cpp
+++ b/tests/fleettabletest.cpp
@@ -198,7 +198,7 @@
 	const auto early = static_cast<std::uint64_t>(kWindow * kSpan - 60 * kSecond);
 	const auto late = static_cast<std::uint64_t>(kWindow * kSpan + 2 * kSecond);
 	UsageLedger collector({"g1", early});
-	collector.onBegan(kWindow, kTeam);
+	collector.onRequestStarted(kWindow, kTeam);
 	collector.onReport({"g2", early}, {kWindow, kTeam, 4});
 	UsageLedger holder({"h", early});
 	const auto tell = [&](const UsageLedger& _from)
--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -192,7 +192,7 @@
 TEST(UsageLedger, countsOutliveTheGatewayThatMadeThem)
 {
 	UsageLedger ledger({"a", 1});
-	ledger.onBegan(10, "team");
+	ledger.onRequestStarted(10, "team");
 	ledger.onReport({"b", 5}, {10, "team", 3});
 	ledger.onReport({"b", 5}, {10, "team", 2}); // Late: counts only grow.
 	ledger.onReport({"b", 6}, {10, "team", 1}); // A later run of the same gateway counts beside it.
--- a/tests/quotatest.cpp
+++ b/tests/quotatest.cpp
@@ -410,7 +410,7 @@
 		requests += 1.0;
 		while (budget.allows("service", kSecond))
 		{
-			budget.onRepeat("service", kSecond);
+			budget.onRetry("service", kSecond);
 			repeats += 1.0;
 		}
 	}
