--- a/src/coordination/agreedclock.h
+++ b/src/coordination/agreedclock.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// True time from the steady clock and an offset that most gateways agree on, since single wall clocks step.
+/// Wall clock time from the steady clock and an offset that most gateways agree on, since a single gateway's wall
+/// clock can step.
 
 #ifndef BEACONGATE_COORDINATION_AGREEDCLOCK_H
 #define BEACONGATE_COORDINATION_AGREEDCLOCK_H
@@ -16,29 +17,30 @@
 
 namespace beacongate
 {
-/// Keeps the offset between this process's steady time and true time.
+/// Estimates the offset between this process's steady clock and true time as the median over the gateways' wall
+/// clocks.
 class AgreedClock
 {
 public:
-	/// What a peer's clock said is used for this long.
-	static constexpr Micros kSampleLife = 2 * kSecond;
-	/// Below this many clocks, an offset that was agreed before is kept.
+	/// Time for which a reading of a peer's wall clock is used.
+	static constexpr Micros kSampleLifetime = 2 * kSecond;
+	/// Number of clocks that make an offset agreed. With fewer, an offset that was agreed before is kept.
 	static constexpr std::size_t kQuorum = 3;
 
-	/// A peer's wall clock was read.
+	/// Records a reading of a peer's wall clock.
 	void onSample(const std::string& _peer, Micros _wallClock, Micros _now)
 	{
 		m_samples[_peer] = {_wallClock - _now, _now};
 	}
 
-	/// Works the offset out again.
-	/// @param[in] ownWallClock This process's wall clock.
+	/// Recalculates the offset.
+	/// @param[in] _ownWallClock Wall clock of this process.
 	void update(Micros _ownWallClock, Micros _now)
 	{
 		std::vector<Micros> offsets{_ownWallClock - _now};
 		for (const auto& [peer, sample] : m_samples)
 		{
-			if (_now - sample.taken <= kSampleLife)
+			if (_now - sample.takenAt <= kSampleLifetime)
 			{
 				offsets.push_back(sample.offset);
 			}
@@ -47,9 +49,9 @@
 		{
 			return;
 		}
-		const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
-		std::nth_element(offsets.begin(), middle, offsets.end());
-		m_offset = *middle;
+		const auto median = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
+		std::nth_element(offsets.begin(), median, offsets.end());
+		m_offset = *median;
 		m_agreed = offsets.size() >= kQuorum;
 	}
 
@@ -63,7 +65,7 @@
 	struct Sample
 	{
 		Micros offset = 0;
-		Micros taken = 0;
+		Micros takenAt = 0;
 	};
 
 	std::map<std::string, Sample> m_samples;
--- a/src/coordination/collectormonitor.cpp
+++ b/src/coordination/collectormonitor.cpp
@@ -9,26 +9,27 @@
 {
 namespace
 {
-constexpr Micros kLongestRound = 2 * limits::kCollectorRound; ///< While the process runs.
+constexpr Micros kMaxRoundInterval =
+	2 * limits::kCollectorRound; ///< A longer interval between two calls is a stall of this process.
 } // namespace
 
 std::vector<std::string> CollectorMonitor::takeSilent(Micros _now,
 													  const std::function<Micros(const std::string&)>& _heard,
-													  const std::vector<std::string>& _spokenTo)
+													  const std::vector<std::string>& _contacted)
 {
-	m_stall.onTime(_now, kLongestRound);
+	m_stall.onTime(_now, kMaxRoundInterval);
 	std::vector<std::string> silent;
-	for (auto it = m_askedSince.begin(); it != m_askedSince.end();)
+	for (auto it = m_contactedAt.begin(); it != m_contactedAt.end();)
 	{
-		const auto& [host, asked] = *it;
-		const Micros since = std::max({asked, _heard(host), m_stall.woke()});
+		const auto& [host, contactedAt] = *it;
+		const Micros since = std::max({contactedAt, _heard(host), m_stall.woke()});
 		const bool isSilent = _now - since > kSilenceTimeout;
 		if (isSilent)
 		{
 			silent.push_back(host);
 		}
-		const bool spokenTo = std::find(_spokenTo.begin(), _spokenTo.end(), host) != _spokenTo.end();
-		it = isSilent || !spokenTo ? m_askedSince.erase(it) : std::next(it);
+		const bool contacted = std::find(_contacted.begin(), _contacted.end(), host) != _contacted.end();
+		it = isSilent || !contacted ? m_contactedAt.erase(it) : std::next(it);
 	}
 	return silent;
 }
--- a/src/coordination/collectormonitor.h
+++ b/src/coordination/collectormonitor.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Which collectors do not answer.
+/// Detects collectors that do not answer.
 
 #ifndef BEACONGATE_COORDINATION_COLLECTORMONITOR_H
 #define BEACONGATE_COORDINATION_COLLECTORMONITOR_H
@@ -17,33 +17,32 @@
 
 namespace beacongate
 {
-/// Remembers which collectors were spoken to and should be heard since.
+/// Tracks since when each contacted collector owes an answer.
 class CollectorMonitor
 {
 public:
-	/// A collector that should have been heard for this long, three rounds, is silent.
+	/// A collector counts as silent after this long without an answer: three rounds and 50 ms.
 	static constexpr Micros kSilenceTimeout = 3 * limits::kCollectorRound + 50 * kMillisecond;
 
-	/// A collector was spoken to, and answers if it can.
+	/// Records that a report was sent to a collector, which answers it.
 	void onContacted(const std::string& _host, Micros _now)
 	{
-		m_askedSince.try_emplace(_host, _now);
+		m_contactedAt.try_emplace(_host, _now);
 	}
 
-	/// Looks for silent collectors; to be called in each round, before they are spoken to.
-	/// @param[in] _heard When a host was heard last.
-	/// @param[in] _spokenTo In the round before; others are forgotten.
-	/// @returns those that should have been heard and were not.
-	/// @remarks While this process stood still it could hear nobody, so that the spans begin anew as it goes on. By
-	/// the clock alone, 23 gateways of 77 that stood still for 2.5 s each passed over collectors that were sound,
-	/// in the moment in which they woke, and neither heard nor were heard for seconds more, while they went on
-	/// letting requests through (log of one day with a hot team).
+	/// Finds silent collectors. Must be called in each round before reports are sent.
+	/// @param[in] _heard Returns when a host was last heard.
+	/// @param[in] _contacted Collectors that were contacted in the previous round; all others are forgotten.
+	/// @returns the collectors that have not answered within kSilenceTimeout.
+	/// @remarks A process receives nothing during its own stall, so the timeouts start again when it resumes.
+	/// Without this, 23 of 77 gateways that stalled for 2.5 s dropped healthy collectors as they resumed. They then
+	/// exchanged no reports for seconds while they continued to admit requests.
 	std::vector<std::string> takeSilent(Micros _now, const std::function<Micros(const std::string&)>& _heard,
-										const std::vector<std::string>& _spokenTo);
+										const std::vector<std::string>& _contacted);
 
 private:
 	StallDetector m_stall;
-	std::map<std::string, Micros> m_askedSince;
+	std::map<std::string, Micros> m_contactedAt;
 };
 
 } // namespace beacongate
--- a/src/coordination/demandmeter.cpp
+++ b/src/coordination/demandmeter.cpp
@@ -10,78 +10,79 @@
 {
 namespace
 {
-constexpr double kCallUse = 0.6; ///< A plain service is full at this share of its slots.
+constexpr double kMaxSlotUse =
+	0.6; ///< A backend server of a plain service counts as full at this share of its slots.
 constexpr double kAveragingSeconds = 4.0;
-constexpr double kPeakSeconds = 10.0; ///< A peak is remembered for about this long.
+constexpr double kPeakSeconds = 10.0; ///< Time constant for the decay of the peak.
 } // namespace
 
-void DemandMeter::Average::step(double _passed)
+void DemandMeter::Average::step(double _elapsed)
 {
-	const double weight = 1.0 - std::exp(-_passed / kAveragingSeconds);
-	rate += weight * (fresh / _passed - rate);
-	recentPeak = std::max(rate, recentPeak * std::exp(-_passed / kPeakSeconds));
-	fresh = 0.0;
+	const double weight = 1.0 - std::exp(-_elapsed / kAveragingSeconds);
+	rate += weight * (added / _elapsed - rate);
+	recentPeak = std::max(rate, recentPeak * std::exp(-_elapsed / kPeakSeconds));
+	added = 0.0;
 }
 
-void DemandMeter::onArrival(const std::string& _service, double _readingSeconds, double _holdSeconds,
+void DemandMeter::onArrival(const std::string& _service, double _prefillSeconds, double _holdSeconds,
 							unsigned _slots)
 {
 	const double held = _holdSeconds / static_cast<double>(std::max(1u, _slots));
 	Service& entry = m_services[_service];
-	entry.ownWork += _readingSeconds;
-	entry.work.fresh += _readingSeconds;
+	entry.ownWork += _prefillSeconds;
+	entry.work.added += _prefillSeconds;
 	entry.ownOccupied += held;
-	entry.occupied.fresh += held;
+	entry.occupied.added += held;
 }
 
 void DemandMeter::onCall(const std::string& _service, Micros _duration, unsigned _slots)
 {
-	const double work = secondsOf(_duration) / (static_cast<double>(std::max(1u, _slots)) * kCallUse);
+	const double work = secondsOf(_duration) / (static_cast<double>(std::max(1u, _slots)) * kMaxSlotUse);
 	Service& entry = m_services[_service];
 	entry.ownWork += work;
-	entry.work.fresh += work;
+	entry.work.added += work;
 }
 
-void DemandMeter::addGrowth(Average& _average, double& _known, double _reported)
+void DemandMeter::addIncrease(Average& _average, double& _previous, double _reported)
 {
-	if (_reported > _known)
+	if (_reported > _previous)
 	{
-		_average.fresh += _reported - _known;
-		_known = _reported;
+		_average.added += _reported - _previous;
+		_previous = _reported;
 	}
 }
 
 void DemandMeter::onReport(const std::string& _peer, std::uint64_t _incarnation, const DemandReport& _report)
 {
 	Service& entry = m_services[_report.service];
-	PeerWork& known = entry.peers[_peer];
-	if (_incarnation < known.incarnation)
+	PeerDemand& previous = entry.peers[_peer];
+	if (_incarnation < previous.incarnation)
 	{
 		return;
 	}
-	if (_incarnation > known.incarnation)
+	if (_incarnation > previous.incarnation)
 	{
-		// What it brought before it was known cannot be told apart from old work.
-		known = {_incarnation, _report.work, _report.occupied};
+		// Work from before the first report of this run may be old, so it is only the baseline.
+		previous = {_incarnation, _report.work, _report.occupied};
 		return;
 	}
-	addGrowth(entry.work, known.work, _report.work);
-	addGrowth(entry.occupied, known.occupied, _report.occupied);
+	addIncrease(entry.work, previous.work, _report.work);
+	addIncrease(entry.occupied, previous.occupied, _report.occupied);
 }
 
 void DemandMeter::advance(Micros _now)
 {
-	const double passed = secondsOf(_now - m_advanced);
-	if (m_advanced != 0 && passed > 0.0)
+	const double elapsed = secondsOf(_now - m_advanced);
+	if (m_advanced != 0 && elapsed > 0.0)
 	{
 		for (auto& [name, service] : m_services)
 		{
-			if (service.work.fresh > 0.0 && service.firstWork == kNever)
+			if (service.work.added > 0.0 && service.firstDemand == kNever)
 			{
-				service.firstWork = _now;
+				service.firstDemand = _now;
 			}
-			service.work.step(passed);
-			service.occupied.step(passed);
+			service.work.step(elapsed);
+			service.occupied.step(elapsed);
 		}
 	}
 	m_advanced = _now;
@@ -102,7 +103,7 @@
 bool DemandMeter::settled(const std::string& _service, Micros _now) const
 {
 	const auto it = m_services.find(_service);
-	return it != m_services.end() && it->second.firstWork != kNever && _now - it->second.firstWork > kSettling;
+	return it != m_services.end() && it->second.firstDemand != kNever && _now - it->second.firstDemand > kSettling;
 }
 
 std::vector<DemandReport> DemandMeter::ownReports() const
--- a/src/coordination/demandmeter.h
+++ b/src/coordination/demandmeter.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// How much work all gateways bring to each service, in backend servers that it would keep busy.
+/// Measures the demand of all gateways for each service, as the number of backend servers that it keeps busy.
 
 #ifndef BEACONGATE_COORDINATION_DEMANDMETER_H
 #define BEACONGATE_COORDINATION_DEMANDMETER_H
@@ -16,61 +16,64 @@
 
 namespace beacongate
 {
-/// A gateway's work for one service since it started, in seconds of a backend server; it only grows.
+/// One gateway's demand for a service since the gateway started, in seconds of one backend server. It never
+/// decreases.
 struct DemandReport
 {
 	std::string service;
-	double work = 0.0;     ///< Reading prompts, or running calls of a plain service.
-	double occupied = 0.0; ///< Slots to be held at engines, in seconds of a backend server with all its slots.
+	double work = 0.0;     ///< Time for prompt processing, or for calls of a plain service.
+	double occupied = 0.0; ///< Time for which slots of engines are held, divided by the slots of a backend server.
 };
 
-/// Averages the work over the last seconds.
+/// Averages the demand over the last seconds.
 class DemandMeter
 {
 public:
-	/// The average is believed after this long.
+	/// Time after the first demand until the average is reliable.
 	static constexpr Micros kSettling = 8 * kSecond;
 
-	/// A request for an engine arrived. What is asked for counts, be it served or not: where engines are missing,
-	/// what was sent to them falls short of the load, and what they hold is held for longer.
-	/// @param[in] readingSeconds For which its prompt keeps an engine busy.
-	/// @param[in] holdSeconds For which it then holds a slot at an engine that is not crowded.
-	/// @param[in] slots Of an engine.
-	void onArrival(const std::string& _service, double _readingSeconds, double _holdSeconds, unsigned _slots);
+	/// Counts an engine request at its arrival.
+	/// @param[in] _prefillSeconds Time for which its prompt occupies an engine.
+	/// @param[in] _holdSeconds Time for which it then holds a slot of an engine that is not overloaded.
+	/// @param[in] _slots Slots of an engine.
+	/// @remarks Requests count whether they are served or not. Where engines are missing, the requests that were
+	/// sent to them are fewer than the demand, and they hold their slots for longer.
+	void onArrival(const std::string& _service, double _prefillSeconds, double _holdSeconds, unsigned _slots);
 
-	/// A call at a plain service ended.
+	/// Counts a completed call of a plain service.
 	void onCall(const std::string& _service, Micros _duration, unsigned _slots);
 
-	/// A peer says how much it has brought.
+	/// Takes in the demand that a peer reports.
 	void onReport(const std::string& _peer, std::uint64_t _incarnation, const DemandReport& _report);
 
-	/// Lets time pass; to be called several times a second.
+	/// Updates the averages. Must be called several times a second.
 	void advance(Micros _now);
 
-	/// @returns backend servers that the present load keeps busy.
+	/// @returns the number of backend servers that the current demand keeps busy.
 	double work(const std::string& _service) const;
 
-	/// @returns backend servers whose slots the present load would hold all the time, were they not crowded.
+	/// @returns the number of backend servers whose slots the current demand would hold all the time if none was
+	/// overloaded.
 	double occupied(const std::string& _service) const;
 
-	/// @returns whether work was seen for long enough.
+	/// @returns true if demand has been seen for longer than kSettling.
 	bool settled(const std::string& _service, Micros _now) const;
 
-	/// @returns what this gateway has brought.
+	/// @returns this gateway's demand since it started, by service.
 	std::vector<DemandReport> ownReports() const;
 
 private:
-	/// An average of the last seconds, and its peak of late.
+	/// An exponential average and its decaying peak.
 	struct Average
 	{
-		double fresh = 0.0; ///< Since the last step.
+		double added = 0.0; ///< Amount added since the last step.
 		double rate = 0.0;
 		double recentPeak = 0.0;
 
-		void step(double _passed);
+		void step(double _elapsed);
 	};
 
-	struct PeerWork
+	struct PeerDemand
 	{
 		std::uint64_t incarnation = 0;
 		double work = 0.0;
@@ -83,11 +86,11 @@
 		double ownOccupied = 0.0;
 		Average work;
 		Average occupied;
-		Micros firstWork = kNever;
-		std::map<std::string, PeerWork> peers;
+		Micros firstDemand = kNever;
+		std::map<std::string, PeerDemand> peers;
 	};
 
-	static void addGrowth(Average& _average, double& _known, double _reported);
+	static void addIncrease(Average& _average, double& _previous, double _reported);
 
 	std::map<std::string, Service> m_services;
 	Micros m_advanced = 0;
--- a/src/coordination/fleetfollower.cpp
+++ b/src/coordination/fleetfollower.cpp
@@ -38,39 +38,39 @@
 
 void FleetFollower::onReportSent(Micros _sent, FleetSums _own)
 {
-	m_reported.push_back({_sent, std::move(_own)});
-	if (m_reported.size() > kReports)
+	m_sentReports.push_back({_sent, std::move(_own)});
+	if (m_sentReports.size() > kMaxReports)
 	{
-		m_reported.pop_front();
+		m_sentReports.pop_front();
 	}
 }
 
 std::optional<FleetSums> FleetFollower::sumsOfOthers(const GossipMessage& _sums)
 {
-	const auto reported = std::find_if(m_reported.begin(), m_reported.end(),
-									   [&](const Reported& _reported) { return _reported.sent == _sums.echo; });
-	if (reported == m_reported.end())
+	const auto sentReport = std::find_if(m_sentReports.begin(), m_sentReports.end(),
+										 [&](const SentReport& _report) { return _report.sent == _sums.echo; });
+	if (sentReport == m_sentReports.end())
 	{
 		return std::nullopt;
 	}
-	const FleetSums& own = reported->own;
+	const FleetSums& own = sentReport->own;
 	const std::string collector = _sums.host + '/' + std::to_string(_sums.run.incarnation);
 	if (collector != m_collector)
 	{
 		m_collector = collector;
-		m_atFirst = own;
+		m_ownAtFirst = own;
 	}
 	FleetSums others;
 	others.gateways = _sums.gateways - std::min<std::size_t>(_sums.gateways, 1);
 	for (const QuotaReport& quota : _sums.quotas)
 	{
-		const double ownPart = takenOf(own, quota.team) - takenOf(m_atFirst, quota.team);
+		const double ownPart = takenOf(own, quota.team) - takenOf(m_ownAtFirst, quota.team);
 		others.quotas.push_back({quota.team, quota.taken - ownPart});
 	}
 	for (const DemandReport& demand : _sums.demand)
 	{
 		const DemandReport now = demandOf(own, demand.service);
-		const DemandReport first = demandOf(m_atFirst, demand.service);
+		const DemandReport first = demandOf(m_ownAtFirst, demand.service);
 		others.demand.push_back({demand.service, demand.work - (now.work - first.work),
 								 demand.occupied - (now.occupied - first.occupied)});
 	}
--- a/src/coordination/fleetfollower.h
+++ b/src/coordination/fleetfollower.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// How an ordinary gateway finds out what all others did, from a collector's sums over the whole fleet.
+/// Derives the totals of all other gateways from the sums over the whole fleet that a collector sends.
 
 #ifndef BEACONGATE_COORDINATION_FLEETFOLLOWER_H
 #define BEACONGATE_COORDINATION_FLEETFOLLOWER_H
@@ -14,32 +14,34 @@
 
 namespace beacongate
 {
-/// Takes this gateway's own part out of the sums: the part that it had reported when they were made.
+/// Subtracts this gateway's own part from the fleet's sums, as it was in the report that the sums answer.
 class FleetFollower
 {
 public:
-	/// Reports that are remembered: four seconds of them. Sums that answer an older one are of no use.
-	static constexpr std::size_t kReports = 16;
+	/// Number of own reports that are kept: four seconds' worth. Sums that answer an older report are discarded.
+	static constexpr std::size_t kMaxReports = 16;
 
-	/// A report was sent.
-	/// @param[in] _sent The stamp that the collector echoes.
-	/// @param[in] _own All counters and loads at that moment, also those that the report left out.
+	/// Records a report that was sent.
+	/// @param[in] _sent Timestamp of the report, which the collector echoes.
+	/// @param[in] _own All of this gateway's counters and loads at that time, including those that the report
+	/// omitted.
 	void onReportSent(Micros _sent, FleetSums _own);
 
-	/// @returns what the other gateways did; nothing where the sums answer no report that is remembered.
-	/// @remarks Counters begin anywhere and then grow with what the others do for as long as the collector runs.
+	/// @returns the sums without this gateway's part; nothing if they answer no report that is kept.
+	/// @remarks The counters start at an arbitrary value. From there they grow with the counters of the other
+	/// gateways for as long as the collector's run lasts.
 	std::optional<FleetSums> sumsOfOthers(const GossipMessage& _sums);
 
 private:
-	struct Reported
+	struct SentReport
 	{
 		Micros sent = 0;
 		FleetSums own;
 	};
 
-	std::deque<Reported> m_reported;
-	std::string m_collector; ///< Host and run that is followed.
-	FleetSums m_atFirst;     ///< This gateway's own counters when that collector was first heard.
+	std::deque<SentReport> m_sentReports;
+	std::string m_collector; ///< Host and incarnation of the collector that the last sums came from.
+	FleetSums m_ownAtFirst;  ///< Own counters when the first sums of that collector arrived.
 };
 
 } // namespace beacongate
