--- a/src/coordination/collectormonitor.cpp
+++ b/src/coordination/collectormonitor.cpp
@@ -9,8 +9,8 @@
 {
 namespace
 {
-constexpr Micros kMaxRoundInterval =
-	2 * limits::kCollectorRound; ///< A longer interval between two calls is a stall of this process.
+/// A longer interval between two calls is a stall of this process.
+constexpr Micros kMaxRoundInterval = 2 * limits::kCollectorRound;
 } // namespace
 
 std::vector<std::string> CollectorMonitor::takeSilent(Micros _now,
--- a/src/coordination/demandmeter.cpp
+++ b/src/coordination/demandmeter.cpp
@@ -10,8 +10,8 @@
 {
 namespace
 {
-constexpr double kMaxSlotUse =
-	0.6; ///< A backend server of a plain service counts as full at this share of its slots.
+/// A backend server of a plain service counts as full at this share of its slots.
+constexpr double kMaxSlotUse = 0.6;
 constexpr double kAveragingSeconds = 4.0;
 constexpr double kPeakSeconds = 10.0; ///< Time constant for the decay of the peak.
 } // namespace
--- a/src/coordination/fleetliveness.cpp
+++ b/src/coordination/fleetliveness.cpp
@@ -13,9 +13,10 @@
 {
 namespace
 {
-constexpr double kMost = 0.5; ///< Of those that were heard at the same time; one that hears fewer has lost them.
-constexpr Micros kRoundsRunning =
-	2; ///< Rounds in which a process that runs does something, whatever its timers do.
+/// Smallest share of m_maxHeard. A gateway that hears fewer has lost contact with the others.
+constexpr double kMinHeardShare = 0.5;
+/// Rounds within which a running process ticks at least once, whatever its timers do.
+constexpr Micros kMaxTickRounds = 2;
 } // namespace
 
 void FleetLiveness::setMembers(std::size_t _members)
@@ -30,23 +31,23 @@
 
 void FleetLiveness::onTime(Micros _now)
 {
-	m_stall.onTime(_now, kRoundsRunning * GossipPlan::roundInterval(m_members));
+	m_stall.onTime(_now, kMaxTickRounds * GossipPlan::roundInterval(m_members));
 }
 
-Micros FleetLiveness::silentSince(const Word& _word) const
+Micros FleetLiveness::silentSince(const SourceState& _state) const
 {
-	return std::max(_word.proved, m_stall.woke());
+	return std::max(_state.confirmedAt, m_stall.woke());
 }
 
-void FleetLiveness::onHeard(const std::string& _source, Micros _now, Micros _proved, std::size_t _gateways)
+void FleetLiveness::onHeard(const std::string& _source, Micros _now, Micros _confirmedAt, std::size_t _gateways)
 {
-	Word& word = m_heard[_source];
-	word.proved = std::max(word.proved, std::min(_proved, _now));
-	word.received = _now;
-	word.gateways = _gateways;
-	m_gapEnded = m_lastWord != kLongAgo && age(_now) > kGap ? _now : m_gapEnded;
-	m_lastWord = _now;
-	m_mostHeard = std::max(m_mostHeard, gatewaysHeard(_now));
+	SourceState& state = m_heard[_source];
+	state.confirmedAt = std::max(state.confirmedAt, std::min(_confirmedAt, _now));
+	state.receivedAt = _now;
+	state.gateways = _gateways;
+	m_gapEnded = m_lastHeard != kLongAgo && age(_now) > kReportGap ? _now : m_gapEnded;
+	m_lastHeard = _now;
+	m_maxHeard = std::max(m_maxHeard, gatewaysHeard(_now));
 }
 
 bool FleetLiveness::replacesAnother(const std::string& _group, const std::string& _source) const
@@ -56,46 +57,46 @@
 }
 
 std::optional<Micros> FleetLiveness::onSums(const std::string& _group, const std::string& _source, Micros _now,
-											Micros _proved, std::size_t _gateways)
+											Micros _confirmedAt, std::size_t _gateways)
 {
-	const std::string before = std::exchange(m_collectors[_group], _source);
-	const auto word = m_heard.find(before);
+	const std::string previous = std::exchange(m_collectors[_group], _source);
+	const auto state = m_heard.find(previous);
 	std::optional<Micros> unreported;
-	if (before != _source && word != m_heard.end())
+	if (previous != _source && state != m_heard.end())
 	{
-		// What came after the span of silence is recorded as the share of silent gateways.
-		const Micros silent = std::max<Micros>(0, _now - silentSince(word->second) - silenceTimeout());
-		unreported = std::clamp<Micros>(_now - word->second.proved - silent, 0, TokenBucket::kHistory);
-		m_heard.erase(word);
+		// Usage after the silence timeout is already recorded as the share of silent gateways.
+		const Micros silent = std::max<Micros>(0, _now - silentSince(state->second) - silenceTimeout());
+		unreported = std::clamp<Micros>(_now - state->second.confirmedAt - silent, 0, TokenBucket::kHistory);
+		m_heard.erase(state);
 	}
-	onHeard(_source, _now, _proved, _gateways);
+	onHeard(_source, _now, _confirmedAt, _gateways);
 	return unreported;
 }
 
-std::optional<Micros> FleetLiveness::unheardSince(const std::string& _source, Micros _now) const
+std::optional<Micros> FleetLiveness::unreportedSince(const std::string& _source, Micros _now) const
 {
-	const auto word = m_heard.find(_source);
-	const bool inGap = m_lastWord != kLongAgo && age(_now) > kGap;
-	if (word == m_heard.end() || (!inGap && word->second.received >= m_gapEnded))
+	const auto state = m_heard.find(_source);
+	const bool inGap = m_lastHeard != kLongAgo && age(_now) > kReportGap;
+	if (state == m_heard.end() || (!inGap && state->second.receivedAt >= m_gapEnded))
 	{
 		return std::nullopt;
 	}
-	return word->second.proved;
+	return state->second.confirmedAt;
 }
 
-double FleetLiveness::shareOf(const std::string& _source) const
+double FleetLiveness::gatewayShareOf(const std::string& _source) const
 {
-	const auto word = m_heard.find(_source);
-	const std::size_t gateways = word == m_heard.end() ? 1 : word->second.gateways;
+	const auto state = m_heard.find(_source);
+	const std::size_t gateways = state == m_heard.end() ? 1 : state->second.gateways;
 	return std::min(1.0, static_cast<double>(gateways) / static_cast<double>(m_members));
 }
 
 std::size_t FleetLiveness::gatewaysHeard(Micros _now) const
 {
 	std::size_t heard = 1;
-	for (const auto& [source, word] : m_heard)
+	for (const auto& [source, state] : m_heard)
 	{
-		heard += _now - silentSince(word) <= silenceTimeout() ? word.gateways : 0;
+		heard += _now - silentSince(state) <= silenceTimeout() ? state.gateways : 0;
 	}
 	return heard;
 }
@@ -107,18 +108,19 @@
 	return static_cast<double>(members - heard) / static_cast<double>(members);
 }
 
-double FleetLiveness::secondsLeftTo(const std::string& _source, Micros _now) const
+double FleetLiveness::reservedRateSeconds(const std::string& _source, Micros _now) const
 {
-	const auto word = m_heard.find(_source);
-	if (word == m_heard.end())
+	const auto state = m_heard.find(_source);
+	if (state == m_heard.end())
 	{
 		return 0.0;
 	}
-	// What was left to it longer ago is not in the bucket any more, and makes up for nothing: with the whole span,
-	// gateways that came back after 12 s took 11.11 of 11.03 million tokens in 8 s, so 10.11 (quotarestarttest).
+	// Reservations older than the bucket's history no longer count in the bucket, so they must not offset usage.
+	// With the whole span, gateways that reconnected after 12 s took 11.11 of 11.03 million tokens in 8 s; with
+	// this bound they took 10.11 million (quotarestarttest).
 	const Micros silent =
-		std::clamp<Micros>(_now - silentSince(word->second) - silenceTimeout(), 0, TokenBucket::kHistory);
-	return secondsOf(silent) * static_cast<double>(word->second.gateways) / static_cast<double>(m_members);
+		std::clamp<Micros>(_now - silentSince(state->second) - silenceTimeout(), 0, TokenBucket::kHistory);
+	return secondsOf(silent) * static_cast<double>(state->second.gateways) / static_cast<double>(m_members);
 }
 
 FleetContact FleetLiveness::contact(Micros _now) const
@@ -127,23 +129,23 @@
 	{
 		return FleetContact::Established;
 	}
-	std::size_t proved = 1;
-	for (const auto& [source, word] : m_heard)
+	std::size_t confirmed = 1;
+	for (const auto& [source, state] : m_heard)
 	{
-		const bool isNew = word.proved >= m_stall.woke() && _now - word.proved <= silenceTimeout();
-		proved += isNew ? word.gateways : 0;
+		const bool isNew = state.confirmedAt >= m_stall.woke() && _now - state.confirmedAt <= silenceTimeout();
+		confirmed += isNew ? state.gateways : 0;
 	}
-	const double least = kMost * static_cast<double>(std::min(m_mostHeard, m_members));
-	if (m_mostHeard > 1 && static_cast<double>(proved) >= least)
+	const double minConfirmed = kMinHeardShare * static_cast<double>(std::min(m_maxHeard, m_members));
+	if (m_maxHeard > 1 && static_cast<double>(confirmed) >= minConfirmed)
 	{
 		return FleetContact::Established;
 	}
-	const bool justWoke = m_stall.woke() != kLongAgo && _now - m_stall.woke() <= kResumeTimeout;
-	return justWoke ? FleetContact::Resuming : FleetContact::Lost;
+	const bool justResumed = m_stall.woke() != kLongAgo && _now - m_stall.woke() <= kResumeTimeout;
+	return justResumed ? FleetContact::Resuming : FleetContact::Lost;
 }
 
 Micros FleetLiveness::age(Micros _now) const
 {
-	return m_lastWord == kLongAgo ? kNever : _now - m_lastWord;
+	return m_lastHeard == kLongAgo ? kNever : _now - m_lastHeard;
 }
 } // namespace beacongate
--- a/src/coordination/fleetliveness.h
+++ b/src/coordination/fleetliveness.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Of which gateways there is word, and since when.
+/// Tracks which gateways are heard, and how recent their reports provably are.
 
 #ifndef BEACONGATE_COORDINATION_FLEETLIVENESS_H
 #define BEACONGATE_COORDINATION_FLEETLIVENESS_H
@@ -17,122 +17,124 @@
 
 namespace beacongate
 {
-/// How far what is known of the other gateways may be acted on.
+/// Whether this gateway's view of the others is current.
 enum class FleetContact
 {
-	Established, ///< Most of them were heard of late.
-	Resuming,    ///< This process stood still; it has asked, and their words are on their way.
-	Lost,        ///< Most of them are not heard.
+	Established, ///< Most of the others have been heard recently.
+	Resuming,    ///< This process has just resumed from a stall, and the answers to its reports are on their way.
+	Lost,        ///< Most of the others are silent.
 };
 
-/// Keeps from whom word came, and when that word was proved to be new.
-/// @remarks A word is as old as the message of this gateway which it answers, not as the moment at which it is
-/// read: what waited in a socket while this process stood still, or while datagrams were lost, proves nothing of
-/// the present. That covers alike a gateway that stood still, one that hears nothing, one that is not heard, and
-/// one whose collector does not answer.
+/// Keeps which sources sent reports or sums, and how recent these provably were.
+/// @remarks A report proves the state of its sender at the time of the message of this gateway that it answers, not
+/// at the time when it is read. Datagrams that waited in a socket during a stall of this process, or were delayed,
+/// prove nothing about the present. The same rule covers a gateway that stalls, one that receives nothing, one that
+/// is not heard, and one whose collector does not answer.
 class FleetLiveness
 {
 public:
-	/// A source that was silent for longer is taken for cut off; in larger fleets, for twice the span in which a
-	/// peer is heard by chance.
+	/// Time without a report after which a source counts as silent. In larger fleets it is twice the propagation
+	/// delay.
 	static constexpr Micros kSilenceTimeout = 700 * kMillisecond;
-	/// For so long after it stood still, a gateway waits for word before it goes by its own share: a round of
-	/// gossip and the way there and back. The report goes out as it wakes, and 23 gateways of 77 that stood still
-	/// for 2.5 s heard after 0.2 s (log of one day with a hot team).
+	/// Time after a stall for which a gateway waits for reports before it admits by its equal share: one round of
+	/// gossip and one round trip. Its own report is sent as it resumes; 23 of 77 gateways that stalled for 2.5 s
+	/// were answered within 0.2 s.
 	static constexpr Micros kResumeTimeout = 350 * kMillisecond;
 
-	/// A longer span without any word is none of those that lost datagrams make.
-	static constexpr Micros kGap = 500 * kMillisecond;
+	/// A longer time without any report is a gap in the reports, and not the loss of a few datagrams.
+	static constexpr Micros kReportGap = 500 * kMillisecond;
 
-	/// Names how many gateways there are, this one included.
+	/// Sets the number of gateways, including this one.
 	void setMembers(std::size_t _members);
 
-	/// @returns the gateways there are, this one included.
+	/// @returns the number of gateways, including this one.
 	std::size_t members() const
 	{
 		return m_members;
 	}
 
-	/// Time passes; to be called before anything else of the same moment, and several times a second.
+	/// Detects stalls of this process. Must be called several times a second, and before any other call at the same
+	/// time.
 	void onTime(Micros _now);
 
-	/// A source was heard.
-	/// @param[in] _proved When this gateway sent what the source has answered.
-	/// @param[in] _gateways For which it speaks.
-	void onHeard(const std::string& _source, Micros _now, Micros _proved, std::size_t _gateways);
+	/// Records a report of a source.
+	/// @param[in] _confirmedAt Time at which this gateway sent the message that the report answers.
+	/// @param[in] _gateways Number of gateways that the source speaks for.
+	void onHeard(const std::string& _source, Micros _now, Micros _confirmedAt, std::size_t _gateways);
 
-	/// A collector's sums were heard.
-	/// @param[in] _group Over which gateways the sums are: one collector of each group is listened to at a time.
-	/// @returns where it is another collector than before, the span of which neither has told and which was not
-	/// recorded as that of silent gateways.
-	std::optional<Micros> onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _proved,
-								 std::size_t _gateways);
+	/// Records sums of a collector.
+	/// @param[in] _group Names the gateways that the sums cover. One collector of each group is followed at a time.
+	/// @returns the time that neither collector's sums cover and that was not recorded as the share of silent
+	/// gateways, if the collector has changed; else nothing.
+	std::optional<Micros> onSums(const std::string& _group, const std::string& _source, Micros _now,
+								 Micros _confirmedAt, std::size_t _gateways);
 
-	/// @returns whether another collector of a group was listened to so far: what a new one counted before is
-	/// known.
+	/// @returns true if another collector of the group has been followed so far, so that the counters which a new
+	/// one starts with are already known.
 	bool replacesAnother(const std::string& _group, const std::string& _source) const;
 
-	/// @returns whether a source was heard before.
+	/// @returns true if the source has been heard before.
 	bool knows(const std::string& _source) const
 	{
 		return m_heard.count(_source) != 0;
 	}
 
-	/// @returns since when nothing was known of what a source did, where its next word is the first after a span in
-	/// which nobody was heard.
-	std::optional<Micros> unheardSince(const std::string& _source, Micros _now) const;
+	/// @returns the time since which the source's usage is unknown, if its next report is the first after a gap in
+	/// which no source was heard; else nothing.
+	std::optional<Micros> unreportedSince(const std::string& _source, Micros _now) const;
 
-	/// @returns the part of all gateways for which a source speaks.
-	double shareOf(const std::string& _source) const;
+	/// @returns the share of all gateways that the source speaks for.
+	double gatewayShareOf(const std::string& _source) const;
 
-	/// @returns the gateways that are not known to be silent, this one included.
+	/// @returns the number of gateways that are not known to be silent, including this one.
 	std::size_t gatewaysHeard(Micros _now) const;
 
-	/// @returns the part of the gateways that are silent.
+	/// @returns the share of the gateways that are silent.
 	double silentShare(Micros _now) const;
 
-	/// @returns the part of the rate that was left to a source, in seconds of the whole rate, since it was heard.
-	double secondsLeftTo(const std::string& _source, Micros _now) const;
+	/// @returns the usage that was reserved for a source while it was silent, in seconds of a team's full rate.
+	double reservedRateSeconds(const std::string& _source, Micros _now) const;
 
-	/// @returns how far the others may be reckoned with.
+	/// @returns whether this gateway's view of the others is current.
 	FleetContact contact(Micros _now) const;
 
-	/// @returns whether this process stood still and went on within a span.
-	bool wokeWithin(Micros _span, Micros _now) const
+	/// @returns true if this process has resumed from a stall within a span.
+	bool resumedWithin(Micros _span, Micros _now) const
 	{
 		return m_stall.woke() != kLongAgo && _now - m_stall.woke() <= _span;
 	}
 
-	/// @returns for how long nothing was heard; kNever before the first word.
+	/// @returns the time since the last report from any source; kNever before the first one.
 	Micros age(Micros _now) const;
 
-	/// @returns when something was heard last.
-	Micros last() const
+	/// @returns the time of the last report from any source.
+	Micros lastHeard() const
 	{
-		return m_lastWord;
+		return m_lastHeard;
 	}
 
-	/// @returns for how long a source is silent before it is taken for cut off.
+	/// @returns the time without a report after which a source counts as silent.
 	Micros silenceTimeout() const;
 
 private:
-	struct Word
+	struct SourceState
 	{
-		Micros proved = kLongAgo;
-		Micros received = kLongAgo;
+		Micros confirmedAt = kLongAgo;
+		Micros receivedAt = kLongAgo;
 		std::size_t gateways = 1;
 	};
 
-	/// @returns since when a source has been silent; what passed while this process stood still does not count.
-	Micros silentSince(const Word& _word) const;
+	/// @returns the time since which a source has been silent. A stall of this process does not count as silence.
+	Micros silentSince(const SourceState& _state) const;
 
 	StallDetector m_stall;
-	std::map<std::string, Word> m_heard;
-	std::map<std::string, std::string> m_collectors; ///< That is listened to, by group.
-	Micros m_lastWord = kLongAgo;
-	Micros m_gapEnded = kLongAgo; ///< When somebody was heard again after a span in which nobody was.
+	std::map<std::string, SourceState> m_heard;
+	std::map<std::string, std::string> m_collectors; ///< Collector that is followed, by group.
+	Micros m_lastHeard = kLongAgo;
+	Micros m_gapEnded = kLongAgo; ///< When the last gap ended in which no source was heard.
 	std::size_t m_members = 1;
-	std::size_t m_mostHeard = 1; ///< Gateways that were heard at the same time, this one included.
+	/// Largest number of gateways that were heard at the same time, including this one.
+	std::size_t m_maxHeard = 1;
 };
 
 } // namespace beacongate
--- a/src/coordination/fleettable.cpp
+++ b/src/coordination/fleettable.cpp
@@ -25,8 +25,8 @@
 }
 } // namespace
 
-double CounterGrowth::add(const std::string& _source, std::uint64_t _incarnation, const std::string& _counter,
-						  double _value, bool _fromZero)
+double CounterGrowth::increase(const std::string& _source, std::uint64_t _incarnation, const std::string& _counter,
+							   double _value, bool _fromZero)
 {
 	Run& run = m_runs[_source];
 	if (_incarnation < run.incarnation)
@@ -37,10 +37,10 @@
 	{
 		run = {_incarnation, _fromZero, {}};
 	}
-	const auto [counter, first] = run.counters.try_emplace(_counter, run.fromZero ? 0.0 : _value);
-	const double added = std::max(0.0, _value - counter->second);
-	counter->second += added;
-	return added;
+	const auto [counter, isNew] = run.counters.try_emplace(_counter, run.fromZero ? 0.0 : _value);
+	const double increased = std::max(0.0, _value - counter->second);
+	counter->second += increased;
+	return increased;
 }
 
 bool CounterGrowth::knows(const std::string& _source, std::uint64_t _incarnation) const
@@ -49,38 +49,39 @@
 	return run != m_runs.end() && run->second.incarnation == _incarnation;
 }
 
-void FleetTable::addGrowth(const std::string& _source, const GossipMessage& _message, bool _ofThisCentre)
+void FleetTable::addIncreases(const std::string& _source, const GossipMessage& _message, bool _ownDataCentre)
 {
 	const std::uint64_t incarnation = _message.run.incarnation;
-	const bool fromZero = _message.uptime <= kYoung;
+	const bool fromZero = _message.uptime <= kYoungRunUptime;
 	for (const QuotaReport& quota : _message.quotas)
 	{
-		const double added = m_growth.add(_source, incarnation, kQuotaCounter + quota.team, quota.taken, fromZero);
-		m_fleetTotals.quotas[quota.team] += added;
-		m_centreTotals.quotas[quota.team] += _ofThisCentre ? added : 0.0;
+		const double increased =
+			m_counters.increase(_source, incarnation, kQuotaCounter + quota.team, quota.taken, fromZero);
+		m_fleetTotals.quotas[quota.team] += increased;
+		m_dataCentreTotals.quotas[quota.team] += _ownDataCentre ? increased : 0.0;
 	}
 	for (const DemandReport& demand : _message.demand)
 	{
 		const double work =
-			m_growth.add(_source, incarnation, kWorkCounter + demand.service, demand.work, fromZero);
+			m_counters.increase(_source, incarnation, kWorkCounter + demand.service, demand.work, fromZero);
 		const double occupied =
-			m_growth.add(_source, incarnation, kOccupiedCounter + demand.service, demand.occupied, fromZero);
-		Work& fleet = m_fleetTotals.demand[demand.service];
+			m_counters.increase(_source, incarnation, kOccupiedCounter + demand.service, demand.occupied, fromZero);
+		DemandSum& fleet = m_fleetTotals.demand[demand.service];
 		fleet.work += work;
 		fleet.occupied += occupied;
-		Work& centre = m_centreTotals.demand[demand.service];
-		centre.work += _ofThisCentre ? work : 0.0;
-		centre.occupied += _ofThisCentre ? occupied : 0.0;
+		DemandSum& dataCentre = m_dataCentreTotals.demand[demand.service];
+		dataCentre.work += _ownDataCentre ? work : 0.0;
+		dataCentre.occupied += _ownDataCentre ? occupied : 0.0;
 	}
-	m_growth.onAllNamed(_source, incarnation);
+	m_counters.onAllCountersReported(_source, incarnation);
 }
 
-void CounterGrowth::onAllNamed(const std::string& _source, std::uint64_t _incarnation)
+void CounterGrowth::onAllCountersReported(const std::string& _source, std::uint64_t _incarnation)
 {
 	Run& run = m_runs[_source];
 	if (_incarnation > run.incarnation)
 	{
-		run = {_incarnation, true, {}}; // It has no counters yet.
+		run = {_incarnation, true, {}}; // The run has no counters yet.
 	}
 	run.fromZero = true;
 }
@@ -90,38 +91,38 @@
 	Source& source = m_sources[_report.host];
 	source.heard = _now;
 	source.loads = _report.loads;
-	if (!_report.whole && !m_growth.knows(_report.host, _report.run.incarnation))
+	if (!_report.whole && !m_counters.knows(_report.host, _report.run.incarnation))
 	{
 		return false;
 	}
-	addGrowth(_report.host, _report, true);
+	addIncreases(_report.host, _report, true);
 	return true;
 }
 
 bool FleetTable::onDataCentreSums(const GossipMessage& _sums, Micros _now)
 {
 	const std::string collector = _sums.host + '/' + std::to_string(_sums.run.incarnation);
-	Centre& centre = m_centres[_sums.dataCentre];
-	const bool another = centre.collector != collector;
-	if (another && _now - centre.sums.heard <= kCollectorSilence)
+	DataCentre& dataCentre = m_dataCentres[_sums.dataCentre];
+	const bool isOther = dataCentre.collector != collector;
+	if (isOther && _now - dataCentre.sums.heard <= kCollectorTimeout)
 	{
 		return false;
 	}
-	centre.collector = collector;
-	centre.sums = {_now, _sums.gateways, _sums.loads};
-	addGrowth("centre/" + _sums.host, _sums, false);
+	dataCentre.collector = collector;
+	dataCentre.sums = {_now, _sums.gateways, _sums.loads};
+	addIncreases("centre/" + _sums.host, _sums, false);
 	return true;
 }
 
 void FleetTable::expire(Micros _now)
 {
-	std::erase_if(m_sources, [_now](const auto& _entry) { return _now - _entry.second.heard > kLife; });
-	for (auto& [name, centre] : m_centres)
+	std::erase_if(m_sources, [_now](const auto& _entry) { return _now - _entry.second.heard > kEntryLifetime; });
+	for (auto& [name, dataCentre] : m_dataCentres)
 	{
-		if (_now - centre.sums.heard > kLife)
+		if (_now - dataCentre.sums.heard > kEntryLifetime)
 		{
-			centre.sums.loads.clear();
-			centre.sums.gateways = 0;
+			dataCentre.sums.loads.clear();
+			dataCentre.sums.gateways = 0;
 		}
 	}
 }
@@ -153,7 +154,7 @@
 	{
 		addLoads(loads, source.loads);
 	}
-	return sumsOf(m_centreTotals, loads, m_sources.size());
+	return sumsOf(m_dataCentreTotals, loads, m_sources.size());
 }
 
 FleetSums FleetTable::fleetSums() const
@@ -164,10 +165,10 @@
 	{
 		addLoads(loads, source.loads);
 	}
-	for (const auto& [name, centre] : m_centres)
+	for (const auto& [name, dataCentre] : m_dataCentres)
 	{
-		addLoads(loads, centre.sums.loads);
-		gateways += centre.sums.gateways;
+		addLoads(loads, dataCentre.sums.loads);
+		gateways += dataCentre.sums.gateways;
 	}
 	return sumsOf(m_fleetTotals, loads, gateways);
 }
--- a/src/coordination/fleettable.h
+++ b/src/coordination/fleettable.h
@@ -2,12 +2,12 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Sums over gateways that a collector keeps: of its own data centre from their reports, of the others from the
-/// sums of their collectors.
+/// The sums that a collector keeps: over its own data centre from the gateways' reports, and over the other data
+/// centres from the sums of their collectors.
 ///
-/// It answers for large fleets. With random peers, a gateway of 295 heard of another one every 2.7 s and sent and
-/// took in 107 datagrams a second; a collector is heard every 250 ms whatever the fleet's size, and an ordinary
-/// gateway sends 8 datagrams a second and takes in 4.
+/// Collectors bound the delay and the traffic of large fleets. With random peers, a gateway of 295 heard from
+/// another one every 2.7 s and sent and received 107 datagrams a second. A collector answers every 250 ms whatever
+/// the size of the fleet, and an ordinary gateway sends 8 datagrams a second and receives 4.
 
 #ifndef BEACONGATE_COORDINATION_FLEETTABLE_H
 #define BEACONGATE_COORDINATION_FLEETTABLE_H
@@ -22,29 +22,30 @@
 
 namespace beacongate
 {
-/// What some gateways did together.
+/// Counters and loads summed over several gateways.
 struct FleetSums
 {
-	std::size_t gateways = 0;         ///< That were heard of late.
-	std::vector<QuotaReport> quotas;  ///< Grow within the run of the collector that tells them.
-	std::vector<DemandReport> demand; ///< Grow likewise.
-	std::vector<BackendLoad> loads;   ///< As they were last told.
+	std::size_t gateways = 0;         ///< Number of gateways that were heard recently.
+	std::vector<QuotaReport> quotas;  ///< Counters that only grow within a run of the collector that sends them.
+	std::vector<DemandReport> demand; ///< Counters that only grow, as above.
+	std::vector<BackendLoad> loads;   ///< Loads as they were last reported.
 };
 
-/// Turns counters that grow within a run of their source into what was added to them.
+/// Converts counters that only grow within a run of their source into increases.
 class CounterGrowth
 {
 public:
-	/// @param[in] _fromZero A run that was not known before began so lately that all of its counts are news; else
-	/// what it counted so far is where counting begins.
-	/// @returns what was added since the last value.
-	double add(const std::string& _source, std::uint64_t _incarnation, const std::string& _counter, double _value,
-			   bool _fromZero);
+	/// Takes in a counter's value.
+	/// @param[in] _fromZero Applies to a run that was not known before: true if the run is so young that its
+	/// counters are counted from 0; false if their first values are the baseline.
+	/// @returns the increase since the last value.
+	double increase(const std::string& _source, std::uint64_t _incarnation, const std::string& _counter,
+					double _value, bool _fromZero);
 
-	/// A run named all counters that it has: others begin at zero.
-	void onAllNamed(const std::string& _source, std::uint64_t _incarnation);
+	/// Records that a run has reported all of its counters. Any counter that it reports later starts at 0.
+	void onAllCountersReported(const std::string& _source, std::uint64_t _incarnation);
 
-	/// @returns whether a run was met before.
+	/// @returns true if the run has reported before.
 	bool knows(const std::string& _source, std::uint64_t _incarnation) const;
 
 private:
@@ -55,35 +56,37 @@
 		std::map<std::string, double> counters;
 	};
 
-	std::map<std::string, Run> m_runs; ///< By source; one for each gateway that ever reported.
+	std::map<std::string, Run> m_runs; ///< By source, with an entry for each one that has ever reported.
 };
 
-/// The sums of one collector.
+/// The tables and sums of one collector.
 class FleetTable
 {
 public:
-	/// Loads of a gateway, and sums of a data centre, count for this long after they were heard: six rounds.
-	static constexpr Micros kLife = 1500 * kMillisecond;
-	/// Another collector of a data centre is listened to once the one before was silent for this long.
-	static constexpr Micros kCollectorSilence = 700 * kMillisecond;
-	/// A run that is younger tells counts that are all of late; the span over which quotas look back.
-	static constexpr Micros kYoung = TokenBucket::kHistory;
-
-	/// A gateway of this data centre, this one included, reports.
-	/// @returns whether its counters were taken: the first report of a run has to name all of them.
+	/// Time for which a gateway's loads and a data centre's loads count after they were received: six rounds.
+	static constexpr Micros kEntryLifetime = 1500 * kMillisecond;
+	/// Time without sums from a data centre's current collector after which another collector's sums are accepted.
+	static constexpr Micros kCollectorTimeout = 700 * kMillisecond;
+	/// Uptime up to which a run's counters are counted from 0, since all of them are recent. It is the span that
+	/// quotas look back over.
+	static constexpr Micros kYoungRunUptime = TokenBucket::kHistory;
+
+	/// Takes in a report of a gateway of this data centre, including this one.
+	/// @returns true if its counters were accepted. The first report of a run must contain all of its counters.
 	bool onReport(const GossipMessage& _report, Micros _now);
 
-	/// A collector tells the sums of its data centre.
-	/// @returns whether it is the one that is listened to, so that none is counted twice.
+	/// Takes in the sums of another data centre.
+	/// @returns true if they came from the collector that is currently followed for it. The sums of any other are
+	/// ignored, so that nothing is counted twice.
 	bool onDataCentreSums(const GossipMessage& _sums, Micros _now);
 
-	/// Leaves out what was not heard of late; to be called before sums are asked for.
+	/// Removes loads and gateways that have not been heard for kEntryLifetime. Must be called before sums are read.
 	void expire(Micros _now);
 
-	/// @returns sums over this data centre.
+	/// @returns the sums over this data centre.
 	FleetSums dataCentreSums() const;
 
-	/// @returns sums over the whole fleet.
+	/// @returns the sums over the whole fleet.
 	FleetSums fleetSums() const;
 
 private:
@@ -94,13 +97,13 @@
 		std::vector<BackendLoad> loads;
 	};
 
-	struct Centre
+	struct DataCentre
 	{
-		std::string collector; ///< Its host and run.
+		std::string collector; ///< Host and incarnation of the collector that is followed.
 		Source sums;
 	};
 
-	struct Work
+	struct DemandSum
 	{
 		double work = 0.0;
 		double occupied = 0.0;
@@ -109,18 +112,18 @@
 	struct Totals
 	{
 		std::map<std::string, double> quotas;
-		std::map<std::string, Work> demand;
+		std::map<std::string, DemandSum> demand;
 	};
 
-	void addGrowth(const std::string& _source, const GossipMessage& _message, bool _ofThisCentre);
+	void addIncreases(const std::string& _source, const GossipMessage& _message, bool _ownDataCentre);
 	static FleetSums sumsOf(const Totals& _totals, const std::map<BackendKey, BackendLoad>& _loads,
 							std::size_t _gateways);
 
-	CounterGrowth m_growth;
-	Totals m_centreTotals;
+	CounterGrowth m_counters;
+	Totals m_dataCentreTotals;
 	Totals m_fleetTotals;
-	std::map<std::string, Source> m_sources; ///< Gateways of this data centre by host.
-	std::map<std::string, Centre> m_centres; ///< Other data centres by name.
+	std::map<std::string, Source> m_sources;         ///< Gateways of this data centre by host.
+	std::map<std::string, DataCentre> m_dataCentres; ///< Other data centres by name.
 };
 
 } // namespace beacongate
--- a/src/coordination/gossipplan.h
+++ b/src/coordination/gossipplan.h
@@ -82,8 +82,8 @@
 	/// @param[in] _crowded More gateways are known than a round reaches.
 	/// @param[in] _round Number of the round, from 0. In a crowded fleet, every kFullReportRounds-th round sends
 	/// all sections to all receivers, beginning with round 0.
-	/// @returns the sections to send. In a crowded fleet, the other rounds send usage only to the duty holder, or to
-	/// all if it is not known; the copies at all others may be older.
+	/// @returns the sections to send. In a crowded fleet, the other rounds send usage only to the duty holder, or
+	/// to all if it is not known; the copies at all others may be older.
 	static GossipSections sectionsFor(const std::string& _target, const std::optional<std::string>& _holder,
 									  bool _crowded, std::size_t _round)
 	{
--- a/src/coordination/grantorchoice.cpp
+++ b/src/coordination/grantorchoice.cpp
@@ -12,7 +12,7 @@
 {
 namespace
 {
-constexpr std::size_t kMostRanks = 1024; ///< Teams come and go.
+constexpr std::size_t kMaxRankings = 1024; ///< Bounds the cache, since teams come and go.
 
 std::uint64_t weightOf(const std::string& _team, const std::string& _host)
 {
@@ -28,35 +28,35 @@
 		return;
 	}
 	m_hosts = std::move(_hosts);
-	m_ranks.clear();
+	m_rankings.clear();
 	std::erase_if(m_failed, [this](const auto& _entry)
 				  { return !std::binary_search(m_hosts.begin(), m_hosts.end(), _entry.first); });
 }
 
-const std::vector<std::string>& GrantorChoice::rankOf(const std::string& _team)
+const std::vector<std::string>& GrantorChoice::rankingOf(const std::string& _team)
 {
-	if (m_ranks.size() >= kMostRanks)
+	if (m_rankings.size() >= kMaxRankings)
 	{
-		m_ranks.clear();
+		m_rankings.clear();
 	}
-	const auto [rank, isNew] = m_ranks.try_emplace(_team, m_hosts);
+	const auto [ranking, isNew] = m_rankings.try_emplace(_team, m_hosts);
 	if (isNew)
 	{
-		std::sort(rank->second.begin(), rank->second.end(),
+		std::sort(ranking->second.begin(), ranking->second.end(),
 				  [&_team](const std::string& _left, const std::string& _right) {
 					  return std::pair(weightOf(_team, _left), _left) < std::pair(weightOf(_team, _right), _right);
 				  });
 	}
-	return rank->second;
+	return ranking->second;
 }
 
 std::vector<std::string> GrantorChoice::ranked(const std::string& _team, Micros _now)
 {
 	std::vector<std::string> hosts;
-	for (const std::string& host : rankOf(_team))
+	for (const std::string& host : rankingOf(_team))
 	{
 		const auto failed = m_failed.find(host);
-		if (failed == m_failed.end() || _now >= failed->second.until)
+		if (failed == m_failed.end() || _now >= failed->second.retryAt)
 		{
 			hosts.push_back(host);
 		}
@@ -66,20 +66,20 @@
 
 Micros GrantorChoice::onUnable(const std::string& _host, Micros _now)
 {
-	m_failed[_host] = {_now + kPassedOver, 0};
-	return kPassedOver;
+	m_failed[_host] = {_now + kInitialBackoff, 0};
+	return kInitialBackoff;
 }
 
 Micros GrantorChoice::onSilent(const std::string& _host, Micros _now)
 {
 	Failure& failure = m_failed[_host];
-	if (_now < failure.until)
+	if (_now < failure.retryAt)
 	{
-		return failure.until - _now; // Another request has found that out.
+		return failure.retryAt - _now; // Another request has recorded the same failure.
 	}
-	failure.span = std::clamp(2 * failure.span, kPassedOver, kLongestPassedOver);
-	failure.until = _now + failure.span;
-	return failure.span;
+	failure.backoff = std::clamp(2 * failure.backoff, kInitialBackoff, kMaxBackoff);
+	failure.retryAt = _now + failure.backoff;
+	return failure.backoff;
 }
 
 } // namespace beacongate
--- a/src/coordination/grantorchoice.h
+++ b/src/coordination/grantorchoice.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Which gateway grants a team's quota.
+/// Chooses the gateway that grants a team's quota.
 
 #ifndef BEACONGATE_COORDINATION_GRANTORCHOICE_H
 #define BEACONGATE_COORDINATION_GRANTORCHOICE_H
@@ -15,31 +15,31 @@
 
 namespace beacongate
 {
-/// Ranks the gateways that may grant, for each team in another order, by rendezvous hashing: all that agree on the
-/// list agree on the rank without a message. A gateway that did not answer is passed over for a while.
+/// Ranks the possible grantors for each team by rendezvous hashing, so that all gateways with the same list agree
+/// on the ranking without a message. A gateway that did not answer is skipped for a backoff.
 class GrantorChoice
 {
 public:
-	/// For so long one is passed over that did not answer; twice as long each time after, up to the longest span.
-	/// Gateways of a build that does not grant never answer.
-	static constexpr Micros kPassedOver = 1 * kSecond;
-	static constexpr Micros kLongestPassedOver = 8 * kSecond;
+	/// Backoff after a first request without an answer. It doubles with each further one, up to kMaxBackoff, since
+	/// gateways whose build does not grant never answer.
+	static constexpr Micros kInitialBackoff = 1 * kSecond;
+	static constexpr Micros kMaxBackoff = 8 * kSecond;
 
-	/// Names the gateways that may grant.
+	/// Sets the gateways that may grant.
 	void setHosts(std::vector<std::string> _hosts);
 
-	/// @returns who is to be asked for a team, the first one first.
+	/// @returns the gateways to ask for a team's grants, best first, without those in backoff.
 	std::vector<std::string> ranked(const std::string& _team, Micros _now);
 
-	/// One did not answer.
-	/// @returns for how long it is passed over.
+	/// Records that a gateway did not answer.
+	/// @returns its backoff.
 	Micros onSilent(const std::string& _host, Micros _now);
 
-	/// One does not know what is left.
-	/// @returns for how long it is passed over.
+	/// Records that a gateway answered that it does not know what is left.
+	/// @returns its backoff, which does not grow.
 	Micros onUnable(const std::string& _host, Micros _now);
 
-	/// One decided.
+	/// Records that a gateway granted or refused, which ends its backoff.
 	void onAnswered(const std::string& _host)
 	{
 		m_failed.erase(_host);
@@ -48,14 +48,14 @@
 private:
 	struct Failure
 	{
-		Micros until = 0;
-		Micros span = 0;
+		Micros retryAt = 0;
+		Micros backoff = 0;
 	};
 
-	const std::vector<std::string>& rankOf(const std::string& _team);
+	const std::vector<std::string>& rankingOf(const std::string& _team);
 
-	std::vector<std::string> m_hosts;                        ///< Sorted.
-	std::map<std::string, std::vector<std::string>> m_ranks; ///< By team, of all hosts.
+	std::vector<std::string> m_hosts;                           ///< Sorted.
+	std::map<std::string, std::vector<std::string>> m_rankings; ///< Ranking of all hosts by team.
 	std::map<std::string, Failure> m_failed;
 };
 
--- a/src/coordination/quotagrant.h
+++ b/src/coordination/quotagrant.h
@@ -2,11 +2,11 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What gateways tell each other of requests that need a grant of their team's quota.
+/// Messages between gateways for requests that need a grant of their team's quota.
 ///
-/// Where a team may have fewer requests a second than there are gateways, what each of them may let through before
-/// it hears of the others adds up to many times the limit. Such requests are granted one by one, by one gateway for
-/// each team: the grantor.
+/// If a team may have fewer requests a second than there are gateways, the requests that all gateways admit before
+/// their reports reach each other exceed the limit many times over. Such requests are granted one by one, for each
+/// team by one gateway: the grantor.
 
 #ifndef BEACONGATE_COORDINATION_QUOTAGRANT_H
 #define BEACONGATE_COORDINATION_QUOTAGRANT_H
@@ -19,35 +19,36 @@
 
 namespace beacongate
 {
-/// A gateway asks a grantor for a grant.
+/// Asks a grantor for a grant.
 struct QuotaGrantRequest
 {
-	std::uint64_t id = 0; ///< The asker's; the same at each grantor that it asks for one request.
+	/// Number given by the requester; the same for each grantor that it asks for one request.
+	std::uint64_t id = 0;
 	std::string team;
 	double amount = 0.0;
 };
 
-/// What a grantor decided.
+/// Outcome of a grant request. The values are part of the wire format.
 enum class GrantOutcome : std::uint8_t
 {
 	Granted,
-	Refused, ///< Nothing is left of the team's bucket.
-	Later,   ///< It stood still and will know within moments what is left: it may be asked again.
-	Unable,  ///< It does not know what is left: another grantor has to be asked.
+	Refused, ///< The team's bucket is empty.
+	Later,   ///< The grantor has just resumed from a stall and will soon know what is left: ask it again.
+	Unable,  ///< The grantor does not know what is left: ask another one.
 };
 
-/// A grantor's answer.
+/// Answer of a grantor.
 struct QuotaGrantAnswer
 {
 	std::uint64_t id = 0;
 	GrantOutcome outcome = GrantOutcome::Unable;
-	Micros wait = 0; ///< Of a refusal: until something is likely to be left.
-	Micros hold = 0; ///< Of a refusal: for which the asker refuses the team's requests without asking.
+	Micros wait = 0; ///< Refusals only: time until the bucket is likely to have something left.
+	Micros hold = 0; ///< Refusals only: time for which the requester refuses the team's requests without asking.
 	std::string team;
 	double amount = 0.0;
 };
 
-/// A gateway gives a grant back that it did not use.
+/// Returns a grant that was not used.
 struct QuotaGrantReturn
 {
 	std::string team;
--- a/src/coordination/quotagrantor.cpp
+++ b/src/coordination/quotagrantor.cpp
@@ -10,61 +10,62 @@
 {
 namespace
 {
-constexpr Micros kAskersSpan = 1 * kSecond; ///< Over which askers are counted.
-constexpr Micros kGrantsSpan = 1 * kSecond; ///< For which grants are kept at least: longer than any ask waits.
+constexpr Micros kRequesterWindow = 1 * kSecond; ///< Window in which requesters are counted.
+/// Minimum time for which grants are kept: longer than any request waits.
+constexpr Micros kGrantWindow = 1 * kSecond;
 } // namespace
 
-QuotaGrantAnswer QuotaGrantor::decide(const QuotaGrantRequest& _ask, const std::string& _asker, Micros _now)
+QuotaGrantAnswer QuotaGrantor::decide(const QuotaGrantRequest& _request, const std::string& _requester, Micros _now)
 {
-	if (wasGranted(_asker, _ask.id, _now))
+	if (wasGranted(_requester, _request.id, _now))
 	{
-		return {_ask.id, GrantOutcome::Granted, 0, 0, _ask.team, _ask.amount};
+		return {_request.id, GrantOutcome::Granted, 0, 0, _request.team, _request.amount};
 	}
-	const QuotaGrant grant = m_ledger.grant(_ask.team, _ask.amount, _now);
-	QuotaGrantAnswer answer{_ask.id, grant.outcome, grant.wait, 0, _ask.team, _ask.amount};
+	const QuotaGrant grant = m_ledger.grant(_request.team, _request.amount, _now);
+	QuotaGrantAnswer answer{_request.id, grant.outcome, grant.wait, 0, _request.team, _request.amount};
 	if (grant.outcome != GrantOutcome::Granted && grant.outcome != GrantOutcome::Refused)
 	{
 		return answer;
 	}
-	const std::size_t askers = count(_ask.team, _asker, _now);
+	const std::size_t requesters = countRequester(_request.team, _requester, _now);
 	if (grant.outcome == GrantOutcome::Granted)
 	{
-		m_grants.now.emplace(_asker, _ask.id);
+		m_grants.current.emplace(_requester, _request.id);
 	}
 	else
 	{
-		// An asker comes again after each hold, so that all of them together ask so many times a second.
-		const double allowed = kAsksAllowed + kAsksForEachGrant * m_ledger.requestsPerSecond(_ask.team);
-		const auto spread =
-			static_cast<Micros>(static_cast<double>(askers) / allowed * static_cast<double>(kSecond));
-		answer.hold = std::min(std::max(grant.wait, spread), kLongestHold);
+		// Each requester asks again after its hold, so this hold keeps all of them together at the allowed rate.
+		const double allowedRate = kBaseRequestRate + kRequestsPerGrant * m_ledger.requestsPerSecond(_request.team);
+		const auto rateHold =
+			static_cast<Micros>(static_cast<double>(requesters) / allowedRate * static_cast<double>(kSecond));
+		answer.hold = std::min(std::max(grant.wait, rateHold), kMaxHold);
 	}
 	return answer;
 }
 
-bool QuotaGrantor::wasGranted(const std::string& _asker, std::uint64_t _id, Micros _now)
+bool QuotaGrantor::wasGranted(const std::string& _requester, std::uint64_t _id, Micros _now)
 {
-	if (_now - m_grants.began >= kGrantsSpan)
+	if (_now - m_grants.began >= kGrantWindow)
 	{
-		m_grants.before = std::exchange(m_grants.now, {});
+		m_grants.previous = std::exchange(m_grants.current, {});
 		m_grants.began = _now;
 	}
-	const std::pair<std::string, std::uint64_t> key(_asker, _id);
-	return m_grants.now.count(key) != 0 || m_grants.before.count(key) != 0;
+	const std::pair<std::string, std::uint64_t> key(_requester, _id);
+	return m_grants.current.count(key) != 0 || m_grants.previous.count(key) != 0;
 }
 
-std::size_t QuotaGrantor::count(const std::string& _team, const std::string& _asker, Micros _now)
+std::size_t QuotaGrantor::countRequester(const std::string& _team, const std::string& _requester, Micros _now)
 {
-	Askers& askers = m_askers[_team];
-	if (_now - askers.began >= kAskersSpan)
+	Requesters& requesters = m_requesters[_team];
+	if (_now - requesters.began >= kRequesterWindow)
 	{
-		const bool lately = _now - askers.began < 2 * kAskersSpan;
-		askers.before = lately ? std::exchange(askers.now, {}) : std::set<std::string>();
-		askers.now.clear();
-		askers.began = _now;
+		const bool isAdjacent = _now - requesters.began < 2 * kRequesterWindow;
+		requesters.previous = isAdjacent ? std::exchange(requesters.current, {}) : std::set<std::string>();
+		requesters.current.clear();
+		requesters.began = _now;
 	}
-	askers.now.insert(_asker);
-	return std::max(askers.now.size(), askers.before.size());
+	requesters.current.insert(_requester);
+	return std::max(requesters.current.size(), requesters.previous.size());
 }
 
 void QuotaGrantor::onReturn(const QuotaGrantReturn& _return, Micros _now)
--- a/src/coordination/quotagrantor.h
+++ b/src/coordination/quotagrantor.h
@@ -18,54 +18,56 @@
 
 namespace beacongate
 {
-/// Decides on asks by this gateway's ledger, which counts what it grants as taken here: the others hear of it as of
-/// any taking. A bounded number of asks reaches it, whatever the team asks for: what it refuses tells the asker for
-/// how long to refuse without asking.
+/// Decides on grant requests by this gateway's ledger, which counts grants as this gateway's own usage, so that the
+/// other gateways learn of them from its reports.
+/// @remarks The rate of grant requests is bounded, whatever the team's demand is: each refusal tells the requester
+/// for how long to refuse without asking.
 class QuotaGrantor
 {
 public:
-	/// Asks a second for one team that are answered with no more hold than until something is left.
-	static constexpr double kAsksAllowed = 50.0;
-	/// Asks a second for each request that the limit allows: with fewer, what is left would not be asked for.
-	static constexpr double kAsksForEachGrant = 2.0;
-	static constexpr Micros kLongestHold = 2 * kSecond;
+	/// Grant requests a second for one team up to which a refusal holds no longer than until something is left.
+	static constexpr double kBaseRequestRate = 50.0;
+	/// Further grant requests a second for each request a second that the team's limit allows. With fewer, what is
+	/// left of the quota would not be requested.
+	static constexpr double kRequestsPerGrant = 2.0;
+	static constexpr Micros kMaxHold = 2 * kSecond;
 
 	explicit QuotaGrantor(QuotaLedger& _ledger) : m_ledger(_ledger)
 	{
 	}
 
-	/// Decides for a gateway.
-	QuotaGrantAnswer decide(const QuotaGrantRequest& _ask, const std::string& _asker, Micros _now);
+	/// Decides on a grant request of a gateway.
+	QuotaGrantAnswer decide(const QuotaGrantRequest& _request, const std::string& _requester, Micros _now);
 
-	/// A gateway gives a grant back.
+	/// Takes back a grant that a gateway did not use.
 	void onReturn(const QuotaGrantReturn& _return, Micros _now);
 
 private:
-	/// Gateways that asked of late.
-	struct Askers
+	/// Gateways that sent grant requests in the current and the previous window.
+	struct Requesters
 	{
-		std::set<std::string> now; ///< In this span.
-		std::set<std::string> before;
+		std::set<std::string> current; ///< Current window.
+		std::set<std::string> previous;
 		Micros began = kLongAgo;
 	};
 
-	/// Grants of late, by asker and ask, so that an ask that comes twice is charged once.
+	/// Recent grants by requester and request number, so that a request that arrives twice is charged once.
 	struct Grants
 	{
-		std::set<std::pair<std::string, std::uint64_t>> now; ///< In this span.
-		std::set<std::pair<std::string, std::uint64_t>> before;
+		std::set<std::pair<std::string, std::uint64_t>> current; ///< Current window.
+		std::set<std::pair<std::string, std::uint64_t>> previous;
 		Micros began = kLongAgo;
 	};
 
-	/// @returns whether an ask was granted before.
-	bool wasGranted(const std::string& _asker, std::uint64_t _id, Micros _now);
+	/// @returns true if the request has been granted before.
+	bool wasGranted(const std::string& _requester, std::uint64_t _id, Micros _now);
 
-	/// Counts an asker.
-	/// @returns how many there were of late.
-	std::size_t count(const std::string& _team, const std::string& _asker, Micros _now);
+	/// Counts a requester.
+	/// @returns the number of gateways that sent requests for the team recently.
+	std::size_t countRequester(const std::string& _team, const std::string& _requester, Micros _now);
 
 	QuotaLedger& m_ledger;
-	std::map<std::string, Askers> m_askers; ///< By team; for limited teams alone.
+	std::map<std::string, Requesters> m_requesters; ///< By team; only teams with a limit.
 	Grants m_grants;
 };
 
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -14,8 +14,8 @@
 {
 namespace
 {
-constexpr double kStartShare =
-	0.5; ///< Of its part of the burst, that a gateway may take before it hears the others.
+/// Of its part of the burst, that a gateway may take before it hears the others.
+constexpr double kStartShare = 0.5;
 constexpr Micros kMembersKnown = kSecond; ///< After the first start of all, until which each has registered itself.
 constexpr double kKeptShare = 0.8;        ///< Of a level that was kept: a little more may have been taken since.
 /// Times its rate that a team is taken to have had of all gateways in the second before a start, where its bucket
@@ -207,7 +207,7 @@
 {
 	// All ask as much more than they take as is the case here.
 	const double refusedTimes = _team.rate.refusedTimes(kPriorRequests * _amount, _now);
-	return (_team.rate.others(m_liveness.last()) + _team.rate.own(_now)) * refusedTimes;
+	return (_team.rate.others(m_liveness.lastHeard()) + _team.rate.own(_now)) * refusedTimes;
 }
 
 double QuotaLedger::admittedPart(const Team& _team, double _level, double _amount, Micros _now) const
@@ -231,7 +231,7 @@
 
 double QuotaLedger::unheard(const Team& _team, Micros _now) const
 {
-	const double others = _team.rate.others(m_liveness.last());
+	const double others = _team.rate.others(m_liveness.lastHeard());
 	const double usual = kMeanDelay * propagationDelay();
 	// Half of it suffices for a team that is refused nothing here: held back whole, a team that asks for 0.6 of its
 	// limit was refused up to 3 in 1,000 requests as a third of the gateways went on after a stall
@@ -435,7 +435,7 @@
 	{
 		if (team.bucket.limited())
 		{
-			const double all = team.rate.others(m_liveness.last()) + team.rate.own(_now);
+			const double all = team.rate.others(m_liveness.lastHeard()) + team.rate.own(_now);
 			views.push_back({name, team.bucket.level(_now), team.takenHere, all});
 		}
 	}
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -22,7 +22,7 @@
 
 double QuotaLedger::unheardOfOthers(const Team& _team, Micros _now) const
 {
-	return _team.rate.others(m_liveness.last()) * (kMeanDelay * propagationDelay() + secondsLate(_now));
+	return _team.rate.others(m_liveness.lastHeard()) * (kMeanDelay * propagationDelay() + secondsLate(_now));
 }
 
 double QuotaLedger::requestsPerSecond(const Team& _team, double _mean)
@@ -105,7 +105,7 @@
 	const bool knowsLimit = it != m_teams.end() && it->second.bucket.limited();
 	if (!knowsLimit || settling(_now) || m_liveness.contact(_now) != FleetContact::Established)
 	{
-		const bool soon = knowsLimit && m_liveness.wokeWithin(kHeardAgain, _now);
+		const bool soon = knowsLimit && m_liveness.resumedWithin(kHeardAgain, _now);
 		return {soon ? GrantOutcome::Later : GrantOutcome::Unable, 0};
 	}
 	Team& team = it->second;
--- a/src/coordination/quotaledgerreports.cpp
+++ b/src/coordination/quotaledgerreports.cpp
@@ -51,13 +51,13 @@
 	TokenBucket& bucket = it->second.bucket;
 	recordSilentShare(it->second, _now);
 	// While it was silent, its share of the rate was left to it and is recorded already.
-	const double left = bucket.rate() * m_liveness.secondsLeftTo(_peer, _now);
+	const double left = bucket.rate() * m_liveness.reservedRateSeconds(_peer, _now);
 	const double owed = std::max(0.0, taken - left);
 	const double most = std::max(0.0, bucket.level(_now) + kMostDebt * std::max(bucket.burst(), bucket.rate()));
 	const double counted = std::min(owed, most);
-	const Micros since = m_liveness.unheardSince(_peer, _now).value_or(_now);
+	const Micros since = m_liveness.unreportedSince(_peer, _now).value_or(_now);
 	if (isBelow(it->second, _now) &&
-		taken < kBelowRate * bucket.rate() * secondsOf(_now - since) * m_liveness.shareOf(_peer))
+		taken < kBelowRate * bucket.rate() * secondsOf(_now - since) * m_liveness.gatewayShareOf(_peer))
 	{
 		bucket.recordOver(counted, since, _now);
 	}
@@ -70,14 +70,14 @@
 
 bool QuotaLedger::isBelow(const Team& _team, Micros _now) const
 {
-	const double all = _team.rate.others(m_liveness.last()) + _team.rate.own(_now);
+	const double all = _team.rate.others(m_liveness.lastHeard()) + _team.rate.own(_now);
 	return !isRefusedMuch(_team, _now) && all < kBelowRate * _team.bucket.rate();
 }
 
 void QuotaLedger::noteGap(Micros _now)
 {
 	const Micros gap = m_liveness.age(_now);
-	if (gap != kNever && gap > FleetLiveness::kGap)
+	if (gap != kNever && gap > FleetLiveness::kReportGap)
 	{
 		for (const auto& [name, team] : m_teams)
 		{
@@ -136,7 +136,7 @@
 	}
 	// Grants bound what passed of a team that is granted its requests one by one: its rate of before tells it.
 	const bool known = isGranted(_team, _team.rate.meanAmount()) && isBelow(_team, _now);
-	const double asBefore = _team.rate.others(m_liveness.last()) * secondsOf(_span) * _part;
+	const double asBefore = _team.rate.others(m_liveness.lastHeard()) * secondsOf(_span) * _part;
 	// Little by little: counted as taken now, teams below their limits were refused for up to ten seconds at the
 	// gateways that had followed the collector before (soak of 30 gateways: 110 of 879 requests).
 	_team.bucket.recordOver(known ? std::min(atRate, asBefore) : atRate, _now - _span, _now);
--- a/tests/fleettabletest.cpp
+++ b/tests/fleettabletest.cpp
@@ -98,7 +98,7 @@
 {
 	FleetTable table;
 	GossipMessage report = reportOf(1, 500.0);
-	report.uptime = FleetTable::kYoung + 1;
+	report.uptime = FleetTable::kYoungRunUptime + 1;
 	report.whole = false;
 	EXPECT_FALSE(table.onReport(report, 0)) << "what a partial report leaves out is not known to be 0";
 	report.whole = true;
@@ -116,7 +116,7 @@
 	FleetTable table;
 	GossipMessage report = reportOf(1, 0.0);
 	report.quotas.clear();
-	report.uptime = FleetTable::kYoung + 1;
+	report.uptime = FleetTable::kYoungRunUptime + 1;
 	EXPECT_TRUE(table.onReport(report, 0));
 	report.quotas = {{kTeam, 5.0}};
 	report.whole = false;
@@ -136,13 +136,13 @@
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(table.fleetSums().gateways, 3u);
 	EXPECT_EQ(takenIn(table.dataCentreSums()), 0.0) << "sums of others are not passed on as one's own";
-	const Micros later = FleetTable::kCollectorSilence + 1;
+	const Micros later = FleetTable::kCollectorTimeout + 1;
 	GossipMessage second = sumsOf(sums, "10.1.0.2", "b");
-	second.uptime = FleetTable::kYoung + 1;
+	second.uptime = FleetTable::kYoungRunUptime + 1;
 	EXPECT_TRUE(table.onDataCentreSums(second, later)) << "the first one is silent";
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(inFlightIn(table.fleetSums(), BackendKey("b")), 2u);
-	table.expire(later + FleetTable::kLife + 1);
+	table.expire(later + FleetTable::kEntryLifetime + 1);
 	EXPECT_EQ(inFlightIn(table.fleetSums(), BackendKey("b")), 0u);
 	EXPECT_EQ(table.fleetSums().gateways, 0u);
 }
--- a/tests/quotaadmissiontest.cpp
+++ b/tests/quotaadmissiontest.cpp
@@ -293,7 +293,7 @@
 		last = ask("host" + std::to_string(number), number).hold;
 	}
 	EXPECT_GT(last, alone);
-	EXPECT_LE(last, QuotaGrantor::kLongestHold);
+	EXPECT_LE(last, QuotaGrantor::kMaxHold);
 }
 
 TEST_F(QuotaGrantorTest, oneThatDoesNotKnowWhatIsLeftSaysSo)
@@ -365,12 +365,12 @@
 	EXPECT_EQ(first.size(), 4u);
 	Micros now = kSecond;
 	const std::string chosen = choice.ranked(kTeam, now).front();
-	EXPECT_EQ(choice.onSilent(chosen, now), GrantorChoice::kPassedOver);
+	EXPECT_EQ(choice.onSilent(chosen, now), GrantorChoice::kInitialBackoff);
 	EXPECT_NE(choice.ranked(kTeam, now).front(), chosen);
 	EXPECT_EQ(choice.ranked(kTeam, now).size(), 3u);
-	now += GrantorChoice::kPassedOver;
+	now += GrantorChoice::kInitialBackoff;
 	EXPECT_EQ(choice.ranked(kTeam, now).front(), chosen);
-	EXPECT_EQ(choice.onSilent(chosen, now), 2 * GrantorChoice::kPassedOver);
+	EXPECT_EQ(choice.onSilent(chosen, now), 2 * GrantorChoice::kInitialBackoff);
 	choice.onAnswered(chosen);
 	EXPECT_EQ(choice.ranked(kTeam, now).front(), chosen);
 }
--- a/tests/quotaloweredtest.cpp
+++ b/tests/quotaloweredtest.cpp
@@ -59,7 +59,7 @@
 	const std::size_t askedBefore = _fleet.asks();
 	_fleet.run(kSpan, _timesItsRate);
 	const double asks = static_cast<double>(_fleet.asks() - askedBefore) / secondsOf(kSpan);
-	const double allowed = QuotaGrantor::kAsksAllowed + QuotaGrantor::kAsksForEachGrant * _rate;
+	const double allowed = QuotaGrantor::kBaseRequestRate + QuotaGrantor::kRequestsPerGrant * _rate;
 	const double most = _fleet.mostOfTolerated(from);
 	const double gap = secondsOf(_fleet.longestGap(from + kOwed)) * _rate;
 	const double used = _fleet.used(from - kSecond);
