--- a/src/coordination/usageledger.h
+++ b/src/coordination/usageledger.h
@@ -42,7 +42,7 @@
 {
 public:
 	/// Windows that are remembered.
-	static constexpr std::uint64_t kRemembered = 6;
+	static constexpr std::uint64_t kRetainedWindows = 6;
 
 	explicit UsageLedger(GatewayRun _self) : m_self(std::move(_self))
 	{
@@ -57,7 +57,7 @@
 	/// A run says, or is said, to have counted this much.
 	void onReport(const GatewayRun& _run, const UsageCount& _report)
 	{
-		if (_run == m_self || _report.window + kRemembered < m_newest)
+		if (_run == m_self || _report.window + kRetainedWindows < m_newest)
 		{
 			return;
 		}
@@ -144,7 +144,7 @@
 	{
 		m_newest = std::max(m_newest, _window);
 		std::erase_if(m_counts,
-					  [this](const auto& _entry) { return std::get<0>(_entry.first) + kRemembered < m_newest; });
+					  [this](const auto& _entry) { return std::get<0>(_entry.first) + kRetainedWindows < m_newest; });
 	}
 
 private:
--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -197,7 +197,7 @@
 	ledger.onReport({"b", 5}, {10, "team", 2}); // Late: counts only grow.
 	ledger.onReport({"b", 6}, {10, "team", 1}); // A later run of the same gateway counts beside it.
 	EXPECT_EQ(ledger.totals(10).at("team"), 5u);
-	ledger.advance(10 + UsageLedger::kRemembered + 1);
+	ledger.advance(10 + UsageLedger::kRetainedWindows + 1);
 	EXPECT_TRUE(ledger.totals(10).empty());
 }
 
