--- a/src/coordination/quotaadmission.cpp
+++ b/src/coordination/quotaadmission.cpp
@@ -12,15 +12,16 @@
 {
 namespace
 {
-/// A ticket that waits is polled more often than this; a longer pause is one of this process, in which no answer
-/// could be read.
-constexpr Micros kPollSpan = 50 * kMillisecond;
-constexpr Micros kAskedAgain = 50 * kMillisecond; ///< After which a grantor is asked again that will know soon.
+/// Longest interval between two polls of a waiting ticket while this process runs. A longer one is a stall of this
+/// process, in which no answer could be read, and does not count as waiting.
+constexpr Micros kMaxPollInterval = 50 * kMillisecond;
+/// Delay before a grantor that answered GrantOutcome::Later is asked again.
+constexpr Micros kLaterRetryDelay = 50 * kMillisecond;
 
-/// @returns a number from 0 to less than 1 that is drawn by a host's name.
-double luckOf(const std::string& _host)
+/// @returns a number from 0 to less than 1 that a host's name determines.
+double shareThresholdOf(const std::string& _host)
 {
-	constexpr double kRange = 4294967296.0; // Of 32 bits.
+	constexpr double kRange = 4294967296.0; // Number of 32-bit values.
 	return static_cast<double>(XXH32(_host.data(), _host.size(), 0)) / kRange;
 }
 
@@ -32,20 +33,21 @@
 
 QuotaAdmission::QuotaAdmission(QuotaLedger& _ledger, QuotaGrantor& _grantor, std::string _host,
 							   std::uint64_t _firstId)
-	: m_ledger(_ledger), m_grantor(_grantor), m_host(std::move(_host)), m_lastId(_firstId), m_luck(luckOf(m_host))
+	: m_ledger(_ledger), m_grantor(_grantor), m_host(std::move(_host)), m_lastId(_firstId),
+	  m_shareThreshold(shareThresholdOf(m_host))
 {
 }
 
 QuotaVerdict QuotaAdmission::take(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now,
 								  Decided _decided)
 {
-	_ticket.asked = std::min(_ticket.asked, _now);
-	const auto waiting = m_pending.find(_ticket.id);
-	if (waiting != m_pending.end())
+	_ticket.firstTried = std::min(_ticket.firstTried, _now);
+	const auto found = m_pending.find(_ticket.id);
+	if (found != m_pending.end())
 	{
-		if (waiting->second.team == _team)
+		if (found->second.team == _team)
 		{
-			return poll(_ticket, waiting->second, _now);
+			return poll(_ticket, found->second, _now);
 		}
 		abandon(_ticket);
 	}
@@ -53,13 +55,13 @@
 	{
 	case QuotaRule::Local:
 	{
-		const QuotaVerdict verdict = m_ledger.take(_team, _amount, _now, _now - _ticket.asked);
-		_ticket.passed = verdict.passes();
+		const QuotaVerdict verdict = m_ledger.take(_team, _amount, _now, _now - _ticket.firstTried);
+		_ticket.admitted = verdict.passes();
 		return verdict;
 	}
 	case QuotaRule::Share:
 		m_ledger.takeFromShare(_team, _amount, _now);
-		_ticket.passed = true;
+		_ticket.admitted = true;
 		return {};
 	case QuotaRule::Granted:
 		break;
@@ -76,25 +78,25 @@
 	pending.amount = _amount;
 	pending.grantors = m_choice.ranked(_team, _now);
 	pending.decided = std::move(_decided);
-	pending.polled = _now;
-	askNext(_ticket.id, pending, _now);
+	pending.polledAt = _now;
+	requestFromNext(_ticket.id, pending, _now);
 	return poll(_ticket, pending, _now);
 }
 
-void QuotaAdmission::askNext(std::uint64_t _id, Pending& _pending, Micros _now)
+void QuotaAdmission::requestFromNext(std::uint64_t _id, Pending& _pending, Micros _now)
 {
 	_pending.waited = 0;
-	_pending.repeated = false;
-	while (_pending.next < _pending.grantors.size())
+	_pending.resent = false;
+	while (_pending.nextGrantor < _pending.grantors.size())
 	{
-		const std::string& host = _pending.grantors[_pending.next++];
-		const QuotaGrantRequest ask{_id, _pending.team, _pending.amount};
+		const std::string& host = _pending.grantors[_pending.nextGrantor++];
+		const QuotaGrantRequest request{_id, _pending.team, _pending.amount};
 		if (host != m_host)
 		{
-			m_send(host, ask);
+			m_send(host, request);
 			return;
 		}
-		const QuotaGrantAnswer answer = m_grantor.decide(ask, m_host, _now);
+		const QuotaGrantAnswer answer = m_grantor.decide(request, m_host, _now);
 		if (isDecision(answer.outcome))
 		{
 			onDecided(_pending, host, answer, _now);
@@ -102,8 +104,8 @@
 		}
 		if (answer.outcome == GrantOutcome::Later)
 		{
-			_pending.later = true;
-			_pending.promised = true;
+			_pending.askAgain = true;
+			_pending.laterPromised = true;
 			return;
 		}
 	}
@@ -113,48 +115,48 @@
 
 QuotaVerdict QuotaAdmission::poll(QuotaTicket& _ticket, Pending& _pending, Micros _now)
 {
-	const Micros passed = std::min(_now - std::exchange(_pending.polled, _now), kPollSpan);
-	_pending.waited += passed;
-	_pending.waitedAll += passed;
+	const Micros elapsed = std::min(_now - std::exchange(_pending.polledAt, _now), kMaxPollInterval);
+	_pending.waited += elapsed;
+	_pending.totalWaited += elapsed;
 	if (_pending.state == State::Waiting)
 	{
-		goOn(_ticket.id, _pending, _now);
+		resendOrFailOver(_ticket.id, _pending, _now);
 	}
 	if (_pending.state == State::Waiting)
 	{
-		return {QuotaRefusalReason::Pending, kPatience};
+		return {QuotaRefusalReason::Pending, kGrantorTimeout};
 	}
 	return finish(_ticket, _pending, _now);
 }
 
-void QuotaAdmission::goOn(std::uint64_t _id, Pending& _pending, Micros _now)
+void QuotaAdmission::resendOrFailOver(std::uint64_t _id, Pending& _pending, Micros _now)
 {
-	const bool silent = _pending.waited > kPatience;
+	const bool silent = _pending.waited > kGrantorTimeout;
 	if (silent)
 	{
-		const std::string& host = _pending.grantors[_pending.next - 1];
+		const std::string& host = _pending.grantors[_pending.nextGrantor - 1];
 		++m_counts.unanswered;
-		note({host, false, m_choice.onSilent(host, _now)});
+		addNotice({host, false, m_choice.onSilent(host, _now)});
 	}
-	if (_pending.waitedAll > (_pending.promised ? kLongestLater : kLongestAsk))
+	if (_pending.totalWaited > (_pending.laterPromised ? kMaxLaterWait : kMaxGrantWait))
 	{
-		_pending.next = _pending.grantors.size();
-		askNext(_id, _pending, _now);
+		_pending.nextGrantor = _pending.grantors.size();
+		requestFromNext(_id, _pending, _now);
 	}
-	else if (_pending.later && _pending.waited > kAskedAgain)
+	else if (_pending.askAgain && _pending.waited > kLaterRetryDelay)
 	{
-		_pending.later = false;
-		--_pending.next;
-		askNext(_id, _pending, _now);
+		_pending.askAgain = false;
+		--_pending.nextGrantor;
+		requestFromNext(_id, _pending, _now);
 	}
 	else if (silent)
 	{
-		askNext(_id, _pending, _now);
+		requestFromNext(_id, _pending, _now);
 	}
-	else if (!_pending.later && !_pending.repeated && _pending.waited > kRepeatAfter)
+	else if (!_pending.askAgain && !_pending.resent && _pending.waited > kResendDelay)
 	{
-		_pending.repeated = true;
-		m_send(_pending.grantors[_pending.next - 1], QuotaGrantRequest{_id, _pending.team, _pending.amount});
+		_pending.resent = true;
+		m_send(_pending.grantors[_pending.nextGrantor - 1], QuotaGrantRequest{_id, _pending.team, _pending.amount});
 	}
 }
 
@@ -171,23 +173,23 @@
 		verdict = m_ledger.onGrantRefused(_pending.team, _pending.amount, _pending.wait, _now);
 		break;
 	default:
-		verdict = m_ledger.takeEqualShare(_pending.team, _pending.amount, m_luck, _now);
+		verdict = m_ledger.takeEqualShare(_pending.team, _pending.amount, m_shareThreshold, _now);
 		break;
 	}
-	_ticket.passed = verdict.passes();
+	_ticket.admitted = verdict.passes();
 	m_pending.erase(std::exchange(_ticket.id, 0));
 	return verdict;
 }
 
 void QuotaAdmission::abandon(QuotaTicket& _ticket)
 {
-	// A grant that comes later is given back as one that nobody waits for.
+	// A grant that arrives later is returned, since no request waits for it.
 	m_pending.erase(std::exchange(_ticket.id, 0));
 }
 
 void QuotaAdmission::refund(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now)
 {
-	if (!std::exchange(_ticket.passed, false))
+	if (!std::exchange(_ticket.admitted, false))
 	{
 		return;
 	}
@@ -213,8 +215,8 @@
 		m_choice.onAnswered(_host);
 	}
 	const auto found = m_pending.find(_answer.id);
-	const bool waits = found != m_pending.end() && found->second.state == State::Waiting;
-	if (!waits)
+	const bool isWaiting = found != m_pending.end() && found->second.state == State::Waiting;
+	if (!isWaiting)
 	{
 		if (_answer.outcome == GrantOutcome::Granted)
 		{
@@ -228,13 +230,13 @@
 	{
 		onDecided(pending, _host, _answer, _now);
 	}
-	else if (pending.grantors[pending.next - 1] == _host)
+	else if (pending.grantors[pending.nextGrantor - 1] == _host)
 	{
 		onUndecided(_answer.id, pending, _answer.outcome, _now);
 	}
 	if (pending.state != State::Waiting)
 	{
-		// The ask ends in the call.
+		// The callback may erase the pending request, so it is copied first.
 		const Decided call = pending.decided;
 		call();
 	}
@@ -264,21 +266,22 @@
 	++m_counts.unable;
 	if (_outcome == GrantOutcome::Later)
 	{
-		_pending.later = true;
-		_pending.promised = true;
+		_pending.askAgain = true;
+		_pending.laterPromised = true;
 		_pending.waited = 0;
 		return;
 	}
-	const std::string& host = _pending.grantors[_pending.next - 1];
-	note({host, true, m_choice.onUnable(host, _now)});
-	askNext(_id, _pending, _now);
+	const std::string& host = _pending.grantors[_pending.nextGrantor - 1];
+	addNotice({host, true, m_choice.onUnable(host, _now)});
+	requestFromNext(_id, _pending, _now);
 }
 
-void QuotaAdmission::note(const GrantorNotice& _notice)
+void QuotaAdmission::addNotice(const GrantorNotice& _notice)
 {
-	const bool noted = std::any_of(m_notices.begin(), m_notices.end(),
-								   [&_notice](const GrantorNotice& _other) { return _other.host == _notice.host; });
-	if (!noted)
+	const bool isKnown =
+		std::any_of(m_notices.begin(), m_notices.end(),
+					[&_notice](const GrantorNotice& _other) { return _other.host == _notice.host; });
+	if (!isKnown)
 	{
 		m_notices.push_back(_notice);
 	}
--- a/src/coordination/quotaadmission.h
+++ b/src/coordination/quotaadmission.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Admits requests by their teams' quotas: by what this gateway knows, or by a grant.
+/// Admits requests by their teams' quotas, either by this gateway's own ledger or by a grant of another gateway.
 
 #ifndef BEACONGATE_COORDINATION_QUOTAADMISSION_H
 #define BEACONGATE_COORDINATION_QUOTAADMISSION_H
@@ -19,16 +19,16 @@
 
 namespace beacongate
 {
-/// One request before its team's quota, from its arrival to its end.
+/// The quota state of one request, from its arrival to its end.
 struct QuotaTicket
 {
-	std::uint64_t id = 0;  ///< Of the ask that waits for its answer; 0 for none.
-	Micros asked = kNever; ///< When it came first.
-	std::string grantor;   ///< Who granted it; empty where it passed by what this gateway knows.
-	bool passed = false;
+	std::uint64_t id = 0;       ///< Number of the pending grant request; 0 for none.
+	Micros firstTried = kNever; ///< Time of the first admission attempt.
+	std::string grantor;        ///< Grantor that admitted it; empty if this gateway's ledger did.
+	bool admitted = false;
 };
 
-/// A grantor did not answer, or could not decide, and is passed over.
+/// Reports that a grantor did not answer or could not decide, and is now in backoff.
 struct GrantorNotice
 {
 	std::string host;
@@ -36,75 +36,76 @@
 	Micros span = 0;
 };
 
-/// What became of asks since this gateway started.
+/// Outcomes of grant requests since this gateway started.
 struct QuotaGrantCounts
 {
 	std::uint64_t granted = 0;
 	std::uint64_t refused = 0;
 	std::uint64_t unable = 0;
 	std::uint64_t unanswered = 0;
-	std::uint64_t undecided = 0; ///< Requests for which no grantor decided.
-	std::uint64_t returned = 0;  ///< Grants that came too late.
+	std::uint64_t undecided = 0; ///< Requests that no grantor decided on.
+	std::uint64_t returned = 0;  ///< Grants that arrived too late and were returned.
 };
 
-/// Decides on requests, and asks grantors.
+/// Decides on requests and sends grant requests to grantors.
 class QuotaAdmission
 {
 public:
 	using Send = std::function<void(const std::string& _host, const QuotaMessage& _message)>;
 	using Decided = std::function<void()>;
 
-	/// After so long without an answer a grantor is asked once more, since datagrams get lost.
-	static constexpr Micros kRepeatAfter = 75 * kMillisecond;
-	/// For so long a grantor is waited for.
-	static constexpr Micros kPatience = 150 * kMillisecond;
-	/// For so long a request waits for grantors that do not answer, one after the other.
-	static constexpr Micros kLongestAsk = 500 * kMillisecond;
-	/// For so long a request waits for a grantor that will know soon. After all gateways stood still, a team that
-	/// asks for less than its limit would else be refused what its equal share does not allow.
-	static constexpr Micros kLongestLater = 1 * kSecond;
-
-	/// @param[in] _host This gateway's.
-	/// @param[in] _firstId Drawn anew at each start, so that an answer to an earlier run's ask is known as such.
+	/// Time without an answer after which a grant request is sent once more, since datagrams get lost.
+	static constexpr Micros kResendDelay = 75 * kMillisecond;
+	/// Time after which a grantor that does not answer is in backoff, and the next one is asked.
+	static constexpr Micros kGrantorTimeout = 150 * kMillisecond;
+	/// Time for which a request waits for grantors that do not answer, one after the other.
+	static constexpr Micros kMaxGrantWait = 500 * kMillisecond;
+	/// Time for which a request waits for a grantor that will soon know what is left. After a stall of all
+	/// gateways, a team below its limit would otherwise be refused what exceeds its equal share.
+	static constexpr Micros kMaxLaterWait = 1 * kSecond;
+
+	/// @param[in] _host Host of this gateway.
+	/// @param[in] _firstId Start of the numbering, drawn at random at each start, so that answers to an earlier
+	/// run's requests are recognised.
 	QuotaAdmission(QuotaLedger& _ledger, QuotaGrantor& _grantor, std::string _host, std::uint64_t _firstId);
 
-	/// Names how messages are sent.
+	/// Sets the function that sends messages.
 	void setSend(Send _send)
 	{
 		m_send = std::move(_send);
 	}
 
-	/// Names the gateways that may grant.
+	/// Sets the gateways that may grant.
 	void setGrantors(std::vector<std::string> _hosts)
 	{
 		m_choice.setHosts(std::move(_hosts));
 	}
 
-	/// Limits changed: what was refused before may pass.
+	/// Ends all holds after a change of limits, since requests that were refused before may now be admitted.
 	void onLimitsChanged()
 	{
 		m_holds.clear();
 	}
 
-	/// Decides on a request; to be called again with the same ticket while the verdict is
+	/// Decides on a request. Must be called again with the same ticket while the verdict is
 	/// QuotaRefusalReason::Pending.
-	/// @param[in] _decided Called once an answer has come.
+	/// @param[in] _decided Called when an answer has arrived.
 	QuotaVerdict take(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now,
 					  Decided _decided);
 
-	/// A request ends before it was decided on.
+	/// Ends a request that has not been decided on.
 	void abandon(QuotaTicket& _ticket);
 
-	/// A request that passed did not run.
+	/// Returns the quota of a request that was admitted but did not run.
 	void refund(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now);
 
-	/// A grantor's answer came.
+	/// Takes in a grantor's answer.
 	void onAnswer(const std::string& _host, const QuotaGrantAnswer& _answer, Micros _now);
 
-	/// @returns which grantors were found failing since the last call, for the log.
+	/// @returns the grantor failures since the last call, for the log.
 	std::vector<GrantorNotice> takeNotices();
 
-	/// @returns what became of asks.
+	/// @returns the outcomes of grant requests.
 	const QuotaGrantCounts& counts() const
 	{
 		return m_counts;
@@ -113,46 +114,46 @@
 private:
 	enum class State : std::uint8_t
 	{
-		Waiting, ///< For the answer of a grantor.
+		Waiting, ///< Waits for a grantor's answer.
 		Granted,
 		Refused,
-		Undecided, ///< No grantor decides: by this gateway's equal share.
+		Undecided, ///< No grantor decides, so this gateway's equal share does.
 	};
 
-	/// An ask.
+	/// A grant request that waits for its decision.
 	struct Pending
 	{
 		std::string team;
 		double amount = 0.0;
 		State state = State::Waiting;
 		std::vector<std::string> grantors;
-		std::size_t next = 0;  ///< Of them, to be asked.
-		bool repeated = false; ///< The one that was asked last was asked twice.
-		bool later = false;    ///< It wants to be asked again.
-		bool promised = false; ///< Some grantor has said that it will know soon.
-		Micros polled = 0;
-		Micros waited = 0;    ///< For the grantor that was asked last.
-		Micros waitedAll = 0; ///< For all of them.
-		std::string grantor;  ///< Who decided.
-		Micros wait = 0;      ///< Of a refusal.
+		std::size_t nextGrantor = 0; ///< Index of the next grantor to ask.
+		bool resent = false;         ///< The request was sent twice to the last grantor.
+		bool askAgain = false;       ///< The last grantor asked to be asked again.
+		bool laterPromised = false;  ///< A grantor answered GrantOutcome::Later.
+		Micros polledAt = 0;
+		Micros waited = 0;      ///< Time waited for the last grantor.
+		Micros totalWaited = 0; ///< Time waited for all grantors.
+		std::string grantor;    ///< Grantor that decided.
+		Micros wait = 0;        ///< Refusals only: time until a request may be admitted.
 		Decided decided;
 	};
 
-	/// In which requests of a team are refused without asking.
+	/// A time during which a team's requests are refused without a grant request.
 	struct Hold
 	{
 		Micros until = 0;
-		Micros ready = 0; ///< When something is likely to be left.
+		Micros ready = 0; ///< Time at which the bucket is likely to have something left.
 	};
 
 	QuotaVerdict poll(QuotaTicket& _ticket, Pending& _pending, Micros _now);
-	/// Asks again, or another grantor, where no answer has come in time.
-	void goOn(std::uint64_t _id, Pending& _pending, Micros _now);
-	/// Asks the next grantor.
-	void askNext(std::uint64_t _id, Pending& _pending, Micros _now);
+	/// Sends the request again, or to another grantor, if no answer has arrived in time.
+	void resendOrFailOver(std::uint64_t _id, Pending& _pending, Micros _now);
+	/// Sends the request to the next grantor.
+	void requestFromNext(std::uint64_t _id, Pending& _pending, Micros _now);
 	void onDecided(Pending& _pending, const std::string& _host, const QuotaGrantAnswer& _answer, Micros _now);
 	void onUndecided(std::uint64_t _id, Pending& _pending, GrantOutcome _outcome, Micros _now);
-	void note(const GrantorNotice& _notice);
+	void addNotice(const GrantorNotice& _notice);
 	QuotaVerdict finish(QuotaTicket& _ticket, Pending& _pending, Micros _now);
 
 	QuotaLedger& m_ledger;
@@ -161,10 +162,10 @@
 	Send m_send;
 	GrantorChoice m_choice;
 	std::uint64_t m_lastId;
-	double m_luck;                              ///< See QuotaLedger::takeEqualShare().
-	std::map<std::uint64_t, Pending> m_pending; ///< One for each request that waits.
-	std::map<std::string, Hold> m_holds;        ///< By team; limited ones alone.
-	std::vector<GrantorNotice> m_notices;       ///< One for each grantor and span at most.
+	double m_shareThreshold;                    ///< This gateway's threshold for QuotaLedger::takeEqualShare().
+	std::map<std::uint64_t, Pending> m_pending; ///< By number, for each request that waits.
+	std::map<std::string, Hold> m_holds;        ///< By team; only teams with a limit.
+	std::vector<GrantorNotice> m_notices; ///< At most one for each grantor between two calls of takeNotices().
 	QuotaGrantCounts m_counts;
 };
 
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -206,8 +206,8 @@
 double QuotaLedger::demand(const Team& _team, double _amount, Micros _now) const
 {
 	// All ask as much more than they take as is the case here.
-	const double refusedTimes = _team.rate.refusedTimes(kPriorRequests * _amount, _now);
-	return (_team.rate.others(m_liveness.lastHeard()) + _team.rate.own(_now)) * refusedTimes;
+	const double demandRatio = _team.rate.demandRatio(kPriorRequests * _amount, _now);
+	return (_team.rate.others(m_liveness.lastHeard()) + _team.rate.own(_now)) * demandRatio;
 }
 
 double QuotaLedger::admittedPart(const Team& _team, double _level, double _amount, Micros _now) const
@@ -236,7 +236,7 @@
 	// Half of it suffices for a team that is refused nothing here: held back whole, a team that asks for 0.6 of its
 	// limit was refused up to 3 in 1,000 requests as a third of the gateways went on after a stall
 	// (quotastalltest).
-	const double refused = std::clamp((_team.rate.refusedTimes(0.0, _now) - 1.0) / (kRefusedMuch - 1.0), 0.0, 1.0);
+	const double refused = std::clamp((_team.rate.demandRatio(0.0, _now) - 1.0) / (kRefusedMuch - 1.0), 0.0, 1.0);
 	const double part = kLeastHeldBack + (1.0 - kLeastHeldBack) * refused;
 	return (others + _team.rate.own(_now)) * usual * part + others * secondsLate(_now);
 }
@@ -408,7 +408,7 @@
 
 bool QuotaLedger::isRefusedMuch(const Team& _team, Micros _now)
 {
-	return _team.rate.refusedTimes(0.0, _now) > kRefusedMuch;
+	return _team.rate.demandRatio(0.0, _now) > kRefusedMuch;
 }
 
 std::vector<QuotaTally> QuotaLedger::takeTallies(Micros _now)
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -110,7 +110,7 @@
 	}
 	Team& team = it->second;
 	recordSilentShare(team, _now);
-	team.rate.onSize(_amount);
+	team.rate.onRequestSize(_amount);
 	const double level = team.bucket.level(_now) - unheardOfOthers(team, _now);
 	if (level <= 0.0)
 	{
--- a/src/coordination/quotaledgerreports.cpp
+++ b/src/coordination/quotaledgerreports.cpp
@@ -59,13 +59,13 @@
 	if (isBelow(it->second, _now) &&
 		taken < kBelowRate * bucket.rate() * secondsOf(_now - since) * m_liveness.gatewayShareOf(_peer))
 	{
-		bucket.recordOver(counted, since, _now);
+		bucket.recordSpread(counted, since, _now);
 	}
 	else
 	{
 		bucket.record(counted, _now);
 	}
-	it->second.rate.onOthers(owed, since, _now);
+	it->second.rate.onOthersUsage(owed, since, _now);
 }
 
 bool QuotaLedger::isBelow(const Team& _team, Micros _now) const
@@ -139,7 +139,7 @@
 	const double asBefore = _team.rate.others(m_liveness.lastHeard()) * secondsOf(_span) * _part;
 	// Little by little: counted as taken now, teams below their limits were refused for up to ten seconds at the
 	// gateways that had followed the collector before (soak of 30 gateways: 110 of 879 requests).
-	_team.bucket.recordOver(known ? std::min(atRate, asBefore) : atRate, _now - _span, _now);
+	_team.bucket.recordSpread(known ? std::min(atRate, asBefore) : atRate, _now - _span, _now);
 }
 
 } // namespace beacongate
--- a/src/coordination/sharedretrybudget.h
+++ b/src/coordination/sharedretrybudget.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// This gateway's part of a retry budget that all gateways share.
+/// This gateway's share of a retry budget that all gateways have in common.
 
 #ifndef BEACONGATE_COORDINATION_SHAREDRETRYBUDGET_H
 #define BEACONGATE_COORDINATION_SHAREDRETRYBUDGET_H
@@ -16,27 +16,28 @@
 
 namespace beacongate
 {
-/// What all gateways together may repeat at one service.
+/// Limits on the retries of all gateways together at one service.
 struct RetryBudgetSettings
 {
-	double ratio = 0.2;  ///< Repeats for each request.
-	double slack = 50.0; ///< Repeats beyond that in one window, over all gateways.
+	double ratio = 0.2;  ///< Retries allowed for each request.
+	double slack = 50.0; ///< Further retries allowed in one window, over all gateways.
 	Micros window = 10 * kSecond;
 };
 
-/// Counts by service. The ratio is spent on this gateway's own requests, the slack in equal parts.
+/// Counts requests and retries by service. The ratio applies to this gateway's own requests; the slack is divided
+/// equally among the gateways.
 class SharedRetryBudget
 {
 public:
-	/// Part of the whole that is ever used, since windows slide and gateways restart.
-	static constexpr double kUsedPart = 0.6;
+	/// Share of the budget that is used at most, since windows slide and gateways restart.
+	static constexpr double kUsableShare = 0.6;
 
 	void configure(const RetryBudgetSettings& _settings)
 	{
 		m_settings = _settings;
 	}
 
-	/// Names the gateways there are, this one included.
+	/// Sets the number of gateways, including this one.
 	void setMembers(std::size_t _members)
 	{
 		m_members = _members == 0 ? 1 : _members;
@@ -48,28 +49,28 @@
 		m_services[_service].requests.push_back(_now);
 	}
 
-	/// @returns whether a repeat may be sent now.
+	/// @returns true if a retry may be sent now.
 	bool allows(const std::string& _service, Micros _now)
 	{
 		Counts& counts = m_services[_service];
 		forget(counts.requests, _now);
-		forget(counts.repeats, _now);
+		forget(counts.retries, _now);
 		const double share = m_settings.slack / static_cast<double>(m_members);
 		const double room = m_settings.ratio * static_cast<double>(counts.requests.size()) + share;
-		return static_cast<double>(counts.repeats.size()) + 1.0 <= kUsedPart * room;
+		return static_cast<double>(counts.retries.size()) + 1.0 <= kUsableShare * room;
 	}
 
-	/// Counts a repeat that is sent.
+	/// Counts a retry that is sent.
 	void onRetry(const std::string& _service, Micros _now)
 	{
-		m_services[_service].repeats.push_back(_now);
+		m_services[_service].retries.push_back(_now);
 	}
 
 private:
 	struct Counts
 	{
 		std::deque<Micros> requests;
-		std::deque<Micros> repeats;
+		std::deque<Micros> retries;
 	};
 
 	void forget(std::deque<Micros>& _times, Micros _now) const
--- a/src/coordination/tokenbucket.cpp
+++ b/src/coordination/tokenbucket.cpp
@@ -10,17 +10,19 @@
 {
 namespace
 {
-constexpr Micros kInterval = 20 * kMillisecond; ///< Takings within it are kept as one: 400 for a bucket at most.
-constexpr Micros kPart = 100 * kMillisecond;    ///< Of a span over which takings are spread.
+/// Usage within this span is merged into one entry, so a bucket has at most kHistory / kMergeSpan entries.
+constexpr Micros kMergeSpan = 20 * kMillisecond;
+/// Distance between the entries that spread usage is divided into.
+constexpr Micros kSpreadStep = 100 * kMillisecond;
 
-/// @returns how much of a taking counts at an age.
+/// @returns the weight of usage at an age.
 double weightAt(Micros _age)
 {
-	const double fading = secondsOf(TokenBucket::kHistory - TokenBucket::kFullWeight);
-	return std::clamp(secondsOf(TokenBucket::kHistory - _age) / fading, 0.0, 1.0);
+	const double decaySeconds = secondsOf(TokenBucket::kHistory - TokenBucket::kFullWeight);
+	return std::clamp(secondsOf(TokenBucket::kHistory - _age) / decaySeconds, 0.0, 1.0);
 }
 
-/// @returns the seconds of a span that ends now, weighted like the takings in it.
+/// @returns the seconds of a span that ends now, weighted like the usage in it.
 double weightedSeconds(Micros _span)
 {
 	const double full = secondsOf(std::min(_span, TokenBucket::kFullWeight));
@@ -45,15 +47,15 @@
 	m_burst = _burst;
 }
 
-double TokenBucket::level(Micros _now, double _part) const
+double TokenBucket::level(Micros _now, double _share) const
 {
-	const double burst = m_burst * _part;
+	const double burst = m_burst * _share;
 	double level = burst;
 	double taken = 0.0;
 	for (auto it = m_intervals.rbegin(); it != m_intervals.rend() && _now - it->since <= kHistory; ++it)
 	{
 		taken += it->amount * weightAt(_now - it->since);
-		level = std::min(level, burst + m_rate * _part * weightedSeconds(_now - it->since) - taken);
+		level = std::min(level, burst + m_rate * _share * weightedSeconds(_now - it->since) - taken);
 	}
 	return level;
 }
@@ -83,8 +85,8 @@
 		return _moment < _interval.since;
 	};
 	auto next = std::upper_bound(m_intervals.begin(), m_intervals.end(), _at, later);
-	const bool joins = next != m_intervals.begin() && _at - std::prev(next)->since <= kInterval;
-	if (joins)
+	const bool merges = next != m_intervals.begin() && _at - std::prev(next)->since <= kMergeSpan;
+	if (merges)
 	{
 		std::prev(next)->amount += _amount;
 		return;
@@ -104,14 +106,14 @@
 	record(m_burst - std::min(_level, m_burst), _now);
 }
 
-void TokenBucket::recordOver(double _amount, Micros _since, Micros _now)
+void TokenBucket::recordSpread(double _amount, Micros _since, Micros _now)
 {
 	forgetOld(_now);
 	const Micros span = std::clamp<Micros>(_now - _since, 0, kHistory);
-	const Micros parts = span / kPart + 1;
-	for (Micros part = 0; part < parts; ++part)
+	const Micros steps = span / kSpreadStep + 1;
+	for (Micros step = 0; step < steps; ++step)
 	{
-		add(_amount / static_cast<double>(parts), _now - part * kPart);
+		add(_amount / static_cast<double>(steps), _now - step * kSpreadStep);
 	}
 }
 } // namespace beacongate
--- a/src/coordination/tokenbucket.h
+++ b/src/coordination/tokenbucket.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A token bucket whose level follows from the recent takings alone.
+/// A token bucket whose level is calculated from its recent usage alone.
 
 #ifndef BEACONGATE_COORDINATION_TOKENBUCKET_H
 #define BEACONGATE_COORDINATION_TOKENBUCKET_H
@@ -13,68 +13,70 @@
 
 namespace beacongate
 {
-/// What all gateways took from one team's bucket of late, and the level that follows from it.
-/// @remarks The level is worked out anew from the takings instead of being carried along. A difference between two
-/// gateways (a start, a limit that took hold earlier here, a refund) therefore ends after kHistory at the latest;
-/// a carried level would keep it for as long as the team stays over its limit.
+/// The recent usage of one team at all gateways, and the bucket level that follows from it.
+/// @remarks The level is calculated from the usage each time instead of being stored. A difference between two
+/// gateways (after a start, a limit that took effect earlier on one of them, or a refund) therefore ends after
+/// kHistory at the latest. A stored level would keep the difference for as long as the team is over its limit.
 class TokenBucket
 {
 public:
-	/// Takings count in full for this long, and less and less until kHistory, so that no burst becomes free at one
-	/// moment. In between lies the window over which a quota is checked (8 s on all deployments so far): what a
-	/// team may have all the time, its rate and a burst for each such span, is 0.84 of what is tolerated in that
-	/// window, and the rest is for news that are late. With 5 s and 10 s it was 0.91, and a third of 77 gateways
-	/// that hear nothing for 3 s took 1.01 (quotastalltest, a team that asks for eight times its limit).
+	/// Age up to which usage counts in full. Its weight then falls to 0 at kHistory, so that no burst becomes
+	/// available again all at once.
+	/// @remarks Quotas are checked over a window that lies between the two (8 s on all deployments so far). What a
+	/// team may use all the time, its rate and one burst for each such span, is 0.84 of what is tolerated in that
+	/// window; the rest is for late reports. With 5 s and 10 s the share was 0.91, and a third of 77 gateways that
+	/// received nothing for 3 s admitted 1.01 of what is tolerated (quotastalltest, a team that asks for eight
+	/// times its limit).
 	static constexpr Micros kFullWeight = 7 * kSecond;
-	/// Takings are forgotten after this span.
+	/// Age at which usage is forgotten.
 	static constexpr Micros kHistory = 12 * kSecond;
 
 	/// Sets the limits.
 	/// @param[in] _rate Amount per second; 0 or less for no limit.
-	/// @remarks Where limits fall, what was taken under the old ones counts in proportion.
+	/// @remarks If the limits fall, usage under the old ones is scaled down in proportion.
 	void setLimits(double _rate, double _burst);
 
-	/// @returns whether there is a limit.
+	/// @returns true if there is a limit.
 	bool limited() const
 	{
 		return m_rate > 0.0;
 	}
 
-	/// @returns amount per second.
+	/// @returns the amount per second.
 	double rate() const
 	{
 		return m_rate;
 	}
 
-	/// @returns amount on top of the rate.
+	/// @returns the amount on top of the rate.
 	double burst() const
 	{
 		return m_burst;
 	}
 
-	/// @param[in] _part Of the limits that counts.
-	/// @returns what may be taken; below 0 where too much was.
-	double level(Micros _now, double _part = 1.0) const;
+	/// @param[in] _share Share of the limits that applies.
+	/// @returns the amount that may be used; less than 0 if usage is over the limit.
+	double level(Micros _now, double _share = 1.0) const;
 
-	/// Counts an amount as taken; a negative one gives back.
+	/// Records usage; a negative amount is a refund.
 	void record(double _amount, Micros _now);
 
-	/// @returns what was taken from a moment on.
+	/// @returns the usage since a time.
 	double takenSince(Micros _moment) const;
 
-	/// Forgets what was taken, and counts as much as leaves a level.
+	/// Replaces the recorded usage by an amount that results in the level.
 	void setLevel(double _level, Micros _now);
 
-	/// Counts an amount that was taken little by little since a moment, of which there is word only now.
-	/// @remarks Counted as if all of it were taken now, a gateway that had heard nothing for 2.5 s took a team that
-	/// asks for 0.6 of its limit for one that is over it, and refused it for a second (quotastalltest).
-	void recordOver(double _amount, Micros _since, Micros _now);
+	/// Records usage that is reported only now but was spread evenly over the time since then.
+	/// @remarks If all of it were recorded at the present time, a gateway that had received nothing for 2.5 s would
+	/// treat a team at 0.6 of its limit as over the limit, and refuse it for a second (quotastalltest).
+	void recordSpread(double _amount, Micros _since, Micros _now);
 
 private:
-	/// Takings that lie close together.
+	/// Usage within a short time, merged into one entry.
 	struct Interval
 	{
-		Micros since = 0; ///< The first of them.
+		Micros since = 0; ///< Time of the first usage.
 		double amount = 0.0;
 	};
 
--- a/src/coordination/tokenlog.h
+++ b/src/coordination/tokenlog.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The tokens of one answer, packed, so that an open stream stays small.
+/// The tokens of one answer, packed to keep the memory of an open stream small.
 
 #ifndef BEACONGATE_COORDINATION_TOKENLOG_H
 #define BEACONGATE_COORDINATION_TOKENLOG_H
@@ -14,7 +14,7 @@
 
 namespace beacongate
 {
-/// Append-only list of token texts.
+/// An append-only list of token texts.
 class TokenLog
 {
 public:
@@ -25,19 +25,19 @@
 		m_ends.push_back(static_cast<std::uint32_t>(m_text.size()));
 	}
 
-	/// @returns number of tokens.
+	/// @returns the number of tokens.
 	std::uint64_t size() const
 	{
 		return m_ends.size();
 	}
 
-	/// @returns bytes of all tokens.
+	/// @returns the total size of all tokens in bytes.
 	std::size_t bytes() const
 	{
 		return m_text.size();
 	}
 
-	/// @returns the tokens from that one on; none where it is past the end.
+	/// @returns the tokens from index _first on; none if it is past the end.
 	std::vector<std::string> from(std::uint64_t _first) const
 	{
 		std::vector<std::string> tokens;
--- a/src/coordination/usageledger.h
+++ b/src/coordination/usageledger.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Requests that began to run, by team and window of true time, over all gateways.
+/// Counts requests that started to run, by team and window of true time, over all gateways.
 
 #ifndef BEACONGATE_COORDINATION_USAGELEDGER_H
 #define BEACONGATE_COORDINATION_USAGELEDGER_H
@@ -18,7 +18,7 @@
 
 namespace beacongate
 {
-/// A gateway's count for one team in one window; within a run it only grows.
+/// One gateway's count for a team in a window. Within a run it only grows.
 struct UsageCount
 {
 	std::uint64_t window = 0;
@@ -26,7 +26,7 @@
 	std::uint64_t count = 0;
 };
 
-/// One run of one gateway.
+/// One run of a gateway.
 struct GatewayRun
 {
 	std::string name;
@@ -34,27 +34,27 @@
 	auto operator<=>(const GatewayRun&) const = default;
 };
 
-/// Counts with the runs that counted them.
+/// Counts with the runs that they belong to.
 using RunCounts = std::vector<std::pair<GatewayRun, UsageCount>>;
 
-/// Counts of this gateway and copies of those of its peers, which outlive a peer's end.
+/// The counts of this gateway and copies of its peers' counts, which are kept when a peer ends.
 class UsageLedger
 {
 public:
-	/// Windows that are remembered.
+	/// Number of windows that are kept.
 	static constexpr std::uint64_t kRetainedWindows = 6;
 
 	explicit UsageLedger(GatewayRun _self) : m_self(std::move(_self))
 	{
 	}
 
-	/// A request of a team began to run here.
+	/// Counts a request of a team that started to run here.
 	void onRequestStarted(std::uint64_t _window, const std::string& _team)
 	{
 		++m_counts[{_window, m_self, _team}];
 	}
 
-	/// A run says, or is said, to have counted this much.
+	/// Takes in a count that a run, or another gateway on its behalf, has reported.
 	void onReport(const GatewayRun& _run, const UsageCount& _report)
 	{
 		if (_run == m_self || _report.window + kRetainedWindows < m_newest)
@@ -65,7 +65,7 @@
 		count = std::max(count, _report.count);
 	}
 
-	/// @returns this run's counts of the windows that are remembered, from one window on.
+	/// @returns this run's counts from a window on, as far as they are kept.
 	std::vector<UsageCount> ownCounts(std::uint64_t _fromWindow = 0) const
 	{
 		std::vector<UsageCount> counts;
@@ -79,14 +79,14 @@
 		return counts;
 	}
 
-	/// @returns counts of all runs from a window on, to be kept where they outlive all gateways.
-	/// @param[in] _byCentre Of whole data centres instead of single gateways.
-	RunCounts allCounts(std::uint64_t _fromWindow, bool _byCentre = false) const
+	/// @returns the counts of all runs from a window on, to be stored so that they outlive all gateways.
+	/// @param[in] _byDataCentre True for the sums of data centres; false for single gateways.
+	RunCounts allCounts(std::uint64_t _fromWindow, bool _byDataCentre = false) const
 	{
 		RunCounts counts;
 		for (const auto& [key, count] : m_counts)
 		{
-			if (std::get<0>(key) >= _fromWindow && isCentre(std::get<GatewayRun>(key)) == _byCentre)
+			if (std::get<0>(key) >= _fromWindow && isDataCentre(std::get<GatewayRun>(key)) == _byDataCentre)
 			{
 				counts.emplace_back(std::get<GatewayRun>(key),
 									UsageCount{std::get<0>(key), std::get<std::string>(key), count});
@@ -95,24 +95,25 @@
 		return counts;
 	}
 
-	/// Adds up the runs of single gateways that are known here, which are those of one data centre at a collector.
+	/// Sums the counts of all single gateways that are known here; at a collector these are those of its data
+	/// centre.
 	/// @param[in] _windowSpan Length of a window.
-	/// @returns sums as the counts of one run for each second in which gateways started, and of one for all that
-	/// had started before the window. Like a single run's, such a sum only grows as more is heard, so that the
-	/// larger of two is right; one sum over all would count those that restarted, and a collector that restarted
-	/// would forget what ended runs had counted.
+	/// @returns the sums as the counts of one run for each second of a window in which gateways started, and of one
+	/// run for all that had started before the window. Like a single run's count, each sum only grows as more
+	/// reports arrive, so the larger of two is correct. One sum over all runs would mix in those that restarted,
+	/// and a restarted collector would lose the counts of ended runs.
 	RunCounts dataCentreCounts(const std::string& _dataCentre, std::uint64_t _fromWindow, Micros _windowSpan) const
 	{
 		std::map<Key, std::uint64_t> sums;
 		for (const auto& [key, count] : m_counts)
 		{
 			const auto& [window, run, team] = key;
-			if (window >= _fromWindow && !isCentre(run))
+			if (window >= _fromWindow && !isDataCentre(run))
 			{
 				const std::uint64_t windowStart = window * static_cast<std::uint64_t>(_windowSpan);
-				const std::uint64_t late =
+				const std::uint64_t startOffset =
 					run.incarnation < windowStart ? 0 : run.incarnation - windowStart + kSecond;
-				sums[{window, {kCentreMark + _dataCentre, late / kSecond}, team}] += count;
+				sums[{window, {kDataCentrePrefix + _dataCentre, startOffset / kSecond}, team}] += count;
 			}
 		}
 		RunCounts counts;
@@ -124,14 +125,14 @@
 		return counts;
 	}
 
-	/// @param[in] _byCentre Adds up whole data centres instead of single gateways.
-	/// @returns counts of all runs in a window, by team.
-	std::map<std::string, std::uint64_t> totals(std::uint64_t _window, bool _byCentre = false) const
+	/// @param[in] _byDataCentre True for the sums of data centres; false for single gateways.
+	/// @returns the counts of all runs in a window, by team.
+	std::map<std::string, std::uint64_t> totals(std::uint64_t _window, bool _byDataCentre = false) const
 	{
 		std::map<std::string, std::uint64_t> sums;
 		for (const auto& [key, count] : m_counts)
 		{
-			if (std::get<0>(key) == _window && isCentre(std::get<GatewayRun>(key)) == _byCentre)
+			if (std::get<0>(key) == _window && isDataCentre(std::get<GatewayRun>(key)) == _byDataCentre)
 			{
 				sums[std::get<std::string>(key)] += count;
 			}
@@ -139,23 +140,23 @@
 		return sums;
 	}
 
-	/// Forgets old windows.
+	/// Drops windows that are too old to be kept.
 	void advance(std::uint64_t _window)
 	{
 		m_newest = std::max(m_newest, _window);
-		std::erase_if(m_counts,
-					  [this](const auto& _entry) { return std::get<0>(_entry.first) + kRetainedWindows < m_newest; });
+		std::erase_if(m_counts, [this](const auto& _entry)
+					  { return std::get<0>(_entry.first) + kRetainedWindows < m_newest; });
 	}
 
 private:
 	using Key = std::tuple<std::uint64_t, GatewayRun, std::string>;
 
-	/// Begins the name of a run that stands for a data centre; no gateway's name holds a slash.
-	static constexpr const char* kCentreMark = "/";
+	/// Prefix of the name of a run that stands for a data centre. No gateway's name contains a slash.
+	static constexpr const char* kDataCentrePrefix = "/";
 
-	static bool isCentre(const GatewayRun& _run)
+	static bool isDataCentre(const GatewayRun& _run)
 	{
-		return _run.name.compare(0, 1, kCentreMark) == 0;
+		return _run.name.compare(0, 1, kDataCentrePrefix) == 0;
 	}
 
 	GatewayRun m_self;
--- a/src/coordination/usagerate.h
+++ b/src/coordination/usagerate.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// How fast a team's quota is taken from, as far as one gateway knows.
+/// Estimates the rate at which a team's quota is used, as far as one gateway knows.
 
 #ifndef BEACONGATE_COORDINATION_USAGERATE_H
 #define BEACONGATE_COORDINATION_USAGERATE_H
@@ -14,109 +14,111 @@
 
 namespace beacongate
 {
-/// What all take, and how many of the requests here are refused; averages in which older takings fade.
-/// @remarks What the others take fades with their words, not with the clock: while nothing is heard, they go on as
-/// before. Faded by the clock, a gateway that stood still took the team for a quiet one as it woke.
+/// Decaying averages of the usage at all gateways and of the requests that are refused here.
+/// @remarks The others' usage decays by the times of their reports, not by the clock: while no report arrives, the
+/// others are assumed to continue as before. If it decayed by the clock, a gateway that resumes from a stall would
+/// take the team for an idle one.
 class UsageRate
 {
 public:
-	/// Seconds for which a gateway's own requests say how many are refused.
-	static constexpr double kOwnMemory = 4.0;
+	/// Time constant, in seconds, of the requests from which the ratio of demand to admitted usage is estimated.
+	static constexpr double kOwnDecaySeconds = 4.0;
 
-	/// Weight of the newest request in the mean size of requests.
-	static constexpr double kNewest = 0.1;
+	/// Weight of the newest request in the mean request size.
+	static constexpr double kNewestWeight = 0.1;
 
-	/// Begins with an amount a second that the others are taken to have.
+	/// Starts with an assumed usage of the others, in amount per second.
 	void begin(double _others, Micros _now)
 	{
 		m_others = _others;
-		m_othersFaded = _now;
-		m_ownFaded = _now;
+		m_othersDecayedAt = _now;
+		m_ownDecayedAt = _now;
 	}
 
-	/// The others took an amount of which there is word now.
-	/// @param[in] _since Up to when what they took was known before.
-	void onOthers(double _amount, Micros _since, Micros _now)
+	/// Records usage of the others that is reported now.
+	/// @param[in] _since Time up to which their usage was known before.
+	void onOthersUsage(double _amount, Micros _since, Micros _now)
 	{
-		// Spread over a span of s seconds, an amount has faded to this part of it at the end of the span.
+		// An amount that is spread over s seconds has decayed to (1 - exp(-s)) / s of itself at the end of them.
 		const double span = secondsOf(_now - _since);
-		const double left = span > 0.0 ? (1.0 - std::exp(-span)) / span : 1.0;
-		m_others = others(_now) + _amount * left;
-		m_othersFaded = _now;
+		const double remaining = span > 0.0 ? (1.0 - std::exp(-span)) / span : 1.0;
+		m_others = others(_now) + _amount * remaining;
+		m_othersDecayedAt = _now;
 	}
 
-	/// A request came here and was decided on.
-	void onDecided(double _amount, bool _passed, Micros _now)
+	/// Records a request that was decided on here.
+	void onDecided(double _amount, bool _admitted, Micros _now)
 	{
-		fadeOwn(_now);
-		onSize(_amount);
-		m_ownAsked += _amount;
-		m_ownTaken += _passed ? _amount : 0.0;
-		m_refused = _passed ? m_refused : _now;
+		decayOwn(_now);
+		onRequestSize(_amount);
+		m_ownRequested += _amount;
+		m_ownAdmitted += _admitted ? _amount : 0.0;
+		m_lastRefused = _admitted ? m_lastRefused : _now;
 	}
 
-	/// An amount is counted as taken by this gateway, for a caller here or for another gateway.
+	/// Records usage that this gateway counts as its own, for a local request or for a grant to another gateway.
 	void onCharged(double _amount, Micros _now)
 	{
-		fadeOwn(_now);
+		decayOwn(_now);
 		m_own += _amount;
 	}
 
-	/// A request is so large.
-	void onSize(double _amount)
+	/// Records the size of a request.
+	void onRequestSize(double _amount)
 	{
-		m_meanAmount += (m_meanAmount > 0.0 ? kNewest : 1.0) * (_amount - m_meanAmount);
+		m_meanAmount += (m_meanAmount > 0.0 ? kNewestWeight : 1.0) * (_amount - m_meanAmount);
 	}
 
-	/// @param[in] _lastWord When anything was heard of the others.
-	/// @returns what the others take a second.
-	double others(Micros _lastWord) const
+	/// @param[in] _lastHeard Time of the last report from another gateway.
+	/// @returns the usage of the others per second.
+	double others(Micros _lastHeard) const
 	{
-		return m_others * std::exp(-secondsOf(std::max<Micros>(0, _lastWord - m_othersFaded)));
+		return m_others * std::exp(-secondsOf(std::max<Micros>(0, _lastHeard - m_othersDecayedAt)));
 	}
 
-	/// @returns what this gateway takes a second.
+	/// @returns the usage of this gateway per second.
 	double own(Micros _now) const
 	{
-		return m_own * std::exp(-secondsOf(_now - m_ownFaded));
+		return m_own * std::exp(-secondsOf(_now - m_ownDecayedAt));
 	}
 
-	/// @returns what a request asks for.
+	/// @returns the mean size of a request.
 	double meanAmount() const
 	{
 		return m_meanAmount;
 	}
 
-	/// @param[in] _prior An amount that is taken to have been asked for and got before.
-	/// @returns how many times more was asked for here than was let through.
-	/// @remarks The request that is decided on now does not count: with it, a gateway that a team asks once a
-	/// second refused it a hundredth of its requests, though it asked for 0.6 of its limit (quotastalltest).
-	double refusedTimes(double _prior, Micros _now) const
+	/// @param[in] _prior Amount that is assumed to have been both requested and admitted before.
+	/// @returns the ratio of requested to admitted usage at this gateway; 1 if no request was refused recently.
+	/// @remarks The request that is being decided on does not count. If it did, a gateway that receives one request
+	/// a second from a team would refuse a hundredth of them, although the team uses 0.6 of its limit
+	/// (quotastalltest).
+	double demandRatio(double _prior, Micros _now) const
 	{
-		const double taken = m_ownTaken + _prior;
-		// Without new requests, what was asked for and what passed fade alike.
-		const bool lately = m_refused != kLongAgo && secondsOf(_now - m_refused) < kOwnMemory;
-		return lately && taken > 0.0 ? std::max(1.0, (m_ownAsked + _prior) / taken) : 1.0;
+		const double taken = m_ownAdmitted + _prior;
+		// Without new requests, both amounts decay alike and their ratio never falls.
+		const bool recently = m_lastRefused != kLongAgo && secondsOf(_now - m_lastRefused) < kOwnDecaySeconds;
+		return recently && taken > 0.0 ? std::max(1.0, (m_ownRequested + _prior) / taken) : 1.0;
 	}
 
 private:
-	void fadeOwn(Micros _now)
+	void decayOwn(Micros _now)
 	{
-		const double passed = secondsOf(_now - m_ownFaded);
-		m_own *= std::exp(-passed);
-		m_ownAsked *= std::exp(-passed / kOwnMemory);
-		m_ownTaken *= std::exp(-passed / kOwnMemory);
-		m_ownFaded = _now;
+		const double elapsed = secondsOf(_now - m_ownDecayedAt);
+		m_own *= std::exp(-elapsed);
+		m_ownRequested *= std::exp(-elapsed / kOwnDecaySeconds);
+		m_ownAdmitted *= std::exp(-elapsed / kOwnDecaySeconds);
+		m_ownDecayedAt = _now;
 	}
 
-	double m_others = 0.0; ///< A second's worth.
-	Micros m_othersFaded = 0;
-	double m_own = 0.0; ///< Likewise.
+	double m_others = 0.0; ///< Usage of the others per second.
+	Micros m_othersDecayedAt = 0;
+	double m_own = 0.0; ///< Usage of this gateway per second.
 	double m_meanAmount = 0.0;
-	double m_ownAsked = 0.0; ///< Over kOwnMemory.
-	double m_ownTaken = 0.0;
-	Micros m_ownFaded = 0;
-	Micros m_refused = kLongAgo; ///< When a request was refused last.
+	double m_ownRequested = 0.0; ///< Requested amount, decaying with kOwnDecaySeconds.
+	double m_ownAdmitted = 0.0;
+	Micros m_ownDecayedAt = 0;
+	Micros m_lastRefused = kLongAgo; ///< Time of the last refusal.
 };
 
 } // namespace beacongate
--- a/tests/quotaadmissiontest.cpp
+++ b/tests/quotaadmissiontest.cpp
@@ -145,11 +145,11 @@
 TEST_F(QuotaAdmissionTest, aSilentGrantorIsAskedTwiceThenAnotherOneAndLaterItIsPassedOver)
 {
 	QuotaTicket ticket;
-	poll(ticket, QuotaAdmission::kRepeatAfter + 2 * kStep);
+	poll(ticket, QuotaAdmission::kResendDelay + 2 * kStep);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[0].first, sent[1].first);
 	EXPECT_EQ(std::get<QuotaGrantRequest>(sent[0].second).id, lastAsk().id);
-	poll(ticket, QuotaAdmission::kPatience - QuotaAdmission::kRepeatAfter);
+	poll(ticket, QuotaAdmission::kGrantorTimeout - QuotaAdmission::kResendDelay);
 	ASSERT_EQ(sent.size(), 3u);
 	EXPECT_NE(sent[2].first, sent[0].first);
 	answer(GrantOutcome::Granted);
@@ -213,7 +213,7 @@
 	for (int request = 0; request < 40; ++request)
 	{
 		QuotaTicket ticket;
-		const QuotaVerdict verdict = poll(ticket, 2 * QuotaAdmission::kLongestAsk);
+		const QuotaVerdict verdict = poll(ticket, 2 * QuotaAdmission::kMaxGrantWait);
 		ASSERT_NE(verdict.reason, QuotaRefusalReason::Pending) << "a request is decided on in time";
 		passed += verdict.passes() ? 1.0 : 0.0;
 		pass(100 * kMillisecond);
