--- a/tests/fleettabletest.cpp
+++ b/tests/fleettabletest.cpp
@@ -100,7 +100,7 @@
 	GossipMessage report = reportOf(1, 500.0);
 	report.uptime = FleetTable::kYoungRunUptime + 1;
 	report.whole = false;
-	EXPECT_FALSE(table.onReport(report, 0)) << "what a partial report leaves out is not known to be 0";
+	EXPECT_FALSE(table.onReport(report, 0)) << "counters that a partial report omits are not known to be 0";
 	report.whole = true;
 	EXPECT_TRUE(table.onReport(report, 0));
 	EXPECT_EQ(takenIn(table.fleetSums()), 0.0);
@@ -108,7 +108,8 @@
 	report.whole = false;
 	EXPECT_TRUE(table.onReport(report, 0));
 	EXPECT_EQ(takenIn(table.fleetSums()), 30.0);
-	EXPECT_EQ(table.fleetSums().quotas.front().taken, 7.0) << "a team that was not in the whole report began at 0";
+	EXPECT_EQ(table.fleetSums().quotas.front().taken, 7.0)
+		<< "a team that was not in the complete report started at 0";
 }
 
 TEST(FleetTable, acceptsARunWithoutCounters)
@@ -121,7 +122,7 @@
 	report.quotas = {{kTeam, 5.0}};
 	report.whole = false;
 	EXPECT_TRUE(table.onReport(report, 0));
-	EXPECT_EQ(takenIn(table.fleetSums()), 5.0) << "it began at 0";
+	EXPECT_EQ(takenIn(table.fleetSums()), 5.0) << "the counter started at 0";
 }
 
 TEST(FleetTable, followsOneCollectorOfADataCentreAtATime)
@@ -135,11 +136,11 @@
 	EXPECT_FALSE(table.onDataCentreSums(sumsOf(sums, "10.1.0.2", "b"), 100 * kMillisecond));
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(table.fleetSums().gateways, 3u);
-	EXPECT_EQ(takenIn(table.dataCentreSums()), 0.0) << "sums of others are not passed on as one's own";
+	EXPECT_EQ(takenIn(table.dataCentreSums()), 0.0) << "sums of other data centres are not part of this one's sums";
 	const Micros later = FleetTable::kCollectorTimeout + 1;
 	GossipMessage second = sumsOf(sums, "10.1.0.2", "b");
 	second.uptime = FleetTable::kYoungRunUptime + 1;
-	EXPECT_TRUE(table.onDataCentreSums(second, later)) << "the first one is silent";
+	EXPECT_TRUE(table.onDataCentreSums(second, later)) << "the first collector is silent";
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(inFlightIn(table.fleetSums(), BackendKey("b")), 2u);
 	table.expire(later + FleetTable::kEntryLifetime + 1);
@@ -211,7 +212,7 @@
 	receiveCounts(collector);
 	receiveCounts(collector);
 	EXPECT_EQ(holder.totals(kWindow, true).at(kTeam), 5u);
-	EXPECT_TRUE(holder.totals(kWindow).empty()) << "data centres and single gateways are not added up";
+	EXPECT_TRUE(holder.totals(kWindow).empty()) << "counts of data centres and of single gateways are kept apart";
 	// All gateways of the data centre lose power and restart, and the collector's sums start again.
 	UsageLedger restarted({"g1", late});
 	restarted.onReport({"g2", late}, {kWindow, kTeam, 2});
@@ -425,8 +426,8 @@
 		VirtualFleet fleet(gateways);
 		fleet.run(2 * kSecond);
 		std::printf(
-			"%4u gateways: news of the others are %3lld ms old at the median, %3lld ms at 99 of 100; an ordinary "
-			"gateway handles %.1f kB/s, a collector %.1f kB/s\n",
+			"%4u gateways: reports of the others are %3lld ms old at the median, %3lld ms at the 99th percentile; "
+			"an ordinary gateway sends and receives %.1f kB/s, a collector %.1f kB/s\n",
 			gateways, static_cast<long long>(fleet.age(0.5) / kMillisecond),
 			static_cast<long long>(fleet.age(0.99) / kMillisecond), fleet.bytesPerSecond(false) / 1000.0,
 			fleet.bytesPerSecond(true) / 1000.0);
@@ -589,9 +590,9 @@
 		CollectorQuotaFleet fleet(seed);
 		fleet.run(12 * kSecond, 0.5);
 		fleet.run(12 * kSecond, 6.0);
-		std::printf("most taken in 8 s: %.3f of the quota\n", fleet.peakInWindow());
+		std::printf("peak usage in 8 s: %.3f of the quota\n", fleet.peakInWindow());
 		EXPECT_LT(fleet.peakInWindow(), 1.1);
-		EXPECT_GT(fleet.peakInWindow(), 0.85) << "what is below the quota is not refused";
+		EXPECT_GT(fleet.peakInWindow(), 0.85) << "at least 0.85 of the quota is used";
 	}
 }
 
--- a/tests/quotaadmissiontest.cpp
+++ b/tests/quotaadmissiontest.cpp
@@ -215,7 +215,8 @@
 	{
 		QuotaTicket ticket;
 		const QuotaVerdict verdict = poll(ticket, 2 * QuotaAdmission::kMaxGrantWait);
-		ASSERT_NE(verdict.reason, QuotaRefusalReason::Pending) << "a request is decided on in time";
+		ASSERT_NE(verdict.reason, QuotaRefusalReason::Pending)
+			<< "the request is still undecided after the longest wait";
 		passed += verdict.passes() ? 1.0 : 0.0;
 		advance(100 * kMillisecond);
 	}
@@ -301,7 +302,8 @@
 {
 	EXPECT_EQ(member.grantor.decide({1, "another", 1.0}, "c", now).outcome, GrantOutcome::Unable);
 	now += 10 * kSecond;
-	EXPECT_EQ(request("c", 1).outcome, GrantOutcome::Later) << "it stood still, and will hear of the others soon";
+	EXPECT_EQ(request("c", 1).outcome, GrantOutcome::Later)
+		<< "a grantor that has just resumed from a stall will soon hear the others";
 	now += 10 * kMillisecond;
 	const auto advanceLedger = [this](Micros _span)
 	{
@@ -311,7 +313,8 @@
 		}
 	};
 	advanceLedger(800 * kMillisecond);
-	EXPECT_EQ(request("c", 2).outcome, GrantOutcome::Later) << "reports that answer its own take two rounds";
+	EXPECT_EQ(request("c", 2).outcome, GrantOutcome::Later)
+		<< "reports that answer the grantor's own take two rounds";
 	advanceLedger(200 * kMillisecond);
 	EXPECT_EQ(request("c", 3).outcome, GrantOutcome::Unable);
 	Member restarted("b");
@@ -339,7 +342,7 @@
 		request("host" + std::to_string(id % 300), id);
 	}
 	const std::chrono::duration<double, std::micro> spent = std::chrono::steady_clock::now() - began;
-	std::printf("%.2f us an ask\n", spent.count() / kRequests);
+	std::printf("%.2f us for each grant request\n", spent.count() / kRequests);
 	EXPECT_LT(spent.count() / kRequests, kMaxMicros);
 }
 
--- a/tests/quotaloweredtest.cpp
+++ b/tests/quotaloweredtest.cpp
@@ -66,14 +66,14 @@
 	const double peak = _fleet.peakOfTolerated(from);
 	const double gap = secondsOf(_fleet.longestGap(from + kDebtTime)) * _rate;
 	const double usedShare = _fleet.usedShare(from - kSecond);
-	std::printf(
-		"%.1f a second, %.0f times asked for: most %.3f of what is tolerated, used %.3f, gap %.1f, %.0f asks\n",
-		_rate, _demandFactor, peak, usedShare, gap, requestRate);
+	std::printf("limit %.1f/s, demand factor %.0f: peak %.3f of what is tolerated, used %.3f, gap %.1f, %.0f grant "
+				"requests/s\n",
+				_rate, _demandFactor, peak, usedShare, gap, requestRate);
 	EXPECT_LE(peak, 1.0);
 	EXPECT_GE(usedShare, kMinUsed);
-	EXPECT_LE(gap, kMaxGap) << "a small team is served evenly";
+	EXPECT_LE(gap, kMaxGap) << "requests of a small team are admitted at even intervals";
 	EXPECT_LE(requestRate, kMaxRequestFactor * allowedRate)
-		<< "what one gateway bears does not grow with the fleet or the demand";
+		<< "the load of a grantor does not grow with the fleet or the demand";
 }
 
 void expectLoweredLimitKept(unsigned _gateways)
@@ -123,7 +123,7 @@
 		fleet.run(kChangeTime, kDemand / rate);
 		const Micros from = fleet.now();
 		fleet.run(kTestTime, kDemand / rate);
-		std::printf("%.0f a second: most %.3f of what is tolerated, used %.3f\n", rate, fleet.peakOfTolerated(from),
+		std::printf("limit %.0f/s: peak %.3f of what is tolerated, used %.3f\n", rate, fleet.peakOfTolerated(from),
 					fleet.usedShare(from - kSecond));
 		EXPECT_LE(fleet.peakOfTolerated(from), 1.0);
 		EXPECT_GE(fleet.usedShare(from - kSecond), kMinUsed);
--- a/tests/quotarestarttest.cpp
+++ b/tests/quotarestarttest.cpp
@@ -34,7 +34,8 @@
 	fleet.run(kBetweenRestarts, _demand);
 	fleet.start(_storesLevels);
 	fleet.run(kAfterwards, _demand);
-	std::printf("most %.0f of %.0f used %.3f\n", fleet.peakInWindow(), fleet.tolerated(), fleet.usedShare());
+	std::printf("peak %.0f of %.0f tolerated, used %.3f\n", fleet.peakInWindow(), fleet.tolerated(),
+				fleet.usedShare());
 	EXPECT_LE(fleet.peakInWindow(), fleet.tolerated());
 	EXPECT_GE(fleet.usedShare(), 0.5);
 }
@@ -67,7 +68,8 @@
 	fleet.run(40, 0.5, kCutOff);
 	fleet.run(40, 3.3, kCutOff);
 	fleet.run(60, 3.3);
-	std::printf("most %.0f of %.0f used %.3f\n", fleet.peakInWindow(), fleet.tolerated(), fleet.usedShare());
+	std::printf("peak %.0f of %.0f tolerated, used %.3f\n", fleet.peakInWindow(), fleet.tolerated(),
+				fleet.usedShare());
 	EXPECT_LE(fleet.peakInWindow(), fleet.tolerated());
 	EXPECT_GE(fleet.usedShare(), 0.5);
 }
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -34,10 +34,10 @@
 		fleet.run(4 * kSecond, kHotDemand);
 		fleet.stall(_share, _span, _collectors);
 		fleet.run(10 * kSecond, kHotDemand);
-		std::printf("seed %u: most %.3f of what is tolerated, used %.3f\n", seed, fleet.peakOfTolerated(),
+		std::printf("seed %u: peak %.3f of what is tolerated, used %.3f\n", seed, fleet.peakOfTolerated(),
 					fleet.usedShare(kCalmTime));
 		EXPECT_LE(fleet.peakOfTolerated(), 1.0);
-		EXPECT_GE(fleet.usedShare(kCalmTime), 0.8) << "what is below the limit is not refused";
+		EXPECT_GE(fleet.usedShare(kCalmTime), 0.8) << "at least 0.8 of the limit is used";
 	}
 }
 } // namespace
@@ -107,7 +107,8 @@
 		heard = now + kMillisecond;
 	}
 	now += 2500 * kMillisecond;
-	EXPECT_TRUE(monitor.takeSilent(now, heardAt, collectors).empty()) << "it could hear nobody";
+	EXPECT_TRUE(monitor.takeSilent(now, heardAt, collectors).empty())
+		<< "the gateway could receive nothing during its stall";
 	monitor.onContacted("a", now);
 	std::size_t silent = 0;
 	for (int round = 0; round < 4; ++round)
@@ -115,7 +116,7 @@
 		now += kRound;
 		silent += monitor.takeSilent(now, heardAt, collectors).size();
 	}
-	EXPECT_EQ(silent, 2u) << "they do not answer now";
+	EXPECT_EQ(silent, 2u) << "the collectors do not answer after the stall";
 }
 
 /// Reports that waited in the socket during a stall, or arrive late, prove nothing about the present.
@@ -125,7 +126,7 @@
 	liveness.setMembers(3);
 	const Micros start = kSecond;
 	liveness.onTime(start);
-	EXPECT_EQ(liveness.contact(start), FleetContact::Lost) << "nobody was ever heard";
+	EXPECT_EQ(liveness.contact(start), FleetContact::Lost) << "no source was ever heard";
 	liveness.onHeard("a", start, start, 1);
 	liveness.onHeard("b", start, start, 1);
 	EXPECT_EQ(liveness.contact(start), FleetContact::Established);
@@ -133,8 +134,9 @@
 	liveness.onTime(resumed);
 	EXPECT_EQ(liveness.contact(resumed), FleetContact::Resuming);
 	liveness.onHeard("a", resumed, resumed - kSecond, 1);
-	EXPECT_EQ(liveness.contact(resumed), FleetContact::Resuming) << "it answers what was sent before the stall";
-	EXPECT_EQ(liveness.silentShare(resumed), 0.0) << "that they were not heard says nothing of them";
+	EXPECT_EQ(liveness.contact(resumed), FleetContact::Resuming)
+		<< "the report answers a message from before the stall";
+	EXPECT_EQ(liveness.silentShare(resumed), 0.0) << "the sources could not be heard during the stall";
 	liveness.onHeard("a", resumed, resumed, 1);
 	EXPECT_EQ(liveness.contact(resumed), FleetContact::Established);
 	const Micros late = resumed + FleetLiveness::kResumeTimeout + FleetLiveness::kSilenceTimeout + 1;
@@ -156,7 +158,7 @@
 		fleet.run(4 * kSecond, kHotDemand);
 		fleet.blockReceiving(0.4, 3 * kSecond);
 		fleet.run(10 * kSecond, kHotDemand);
-		std::printf("seed %u: most %.3f of what is tolerated\n", seed, fleet.peakOfTolerated());
+		std::printf("seed %u: peak %.3f of what is tolerated\n", seed, fleet.peakOfTolerated());
 		EXPECT_LE(fleet.peakOfTolerated(), 1.0);
 		EXPECT_GE(fleet.usedShare(kCalmTime), 0.8);
 	}
--- a/tests/quotatest.cpp
+++ b/tests/quotatest.cpp
@@ -115,7 +115,7 @@
 	taken += kDemand * kRate * secondsOf(gap);
 	receiveSums("second", kRound);
 	EXPECT_LE(static_cast<double>(ledger.levels(now).at("team")), before + 1.5 * kRate * secondsOf(kRound));
-	EXPECT_EQ(ledger.liveness().gatewaysHeard(now), kGateways) << "the collector before counts no more";
+	EXPECT_EQ(ledger.liveness().gatewaysHeard(now), kGateways) << "the previous collector no longer counts";
 }
 
 TEST(QuotaLedger, aNewCollectorInAYoungFleetCountsNothingTwice)
@@ -308,7 +308,7 @@
 	EXPECT_EQ(taken({{"team", 0}}), 0.0);
 	EXPECT_GE(taken({{"team", 800}}), 300.0);
 	EXPECT_LE(taken({{"team", 800}}), 800.0);
-	EXPECT_LE(taken({{"team", 1'000'000}}), 800.0) << "no more than a burst, whatever was kept";
+	EXPECT_LE(taken({{"team", 1'000'000}}), 800.0) << "no more than a burst, whatever was stored";
 	QuotaLedger ledger;
 	ledger.configure(*config, 0);
 	// At the first start of the system, nothing was used before. A single gateway uses half of the burst until it
@@ -330,7 +330,7 @@
 	QuotaLedger established;
 	established.setMembers(2);
 	established.configure(*config, now - 30 * kSecond);
-	EXPECT_TRUE(established.levelsToReport(now).empty()) << "it hears nobody";
+	EXPECT_TRUE(established.levelsToReport(now).empty()) << "the gateway hears no other";
 	QuotaLedger restarted;
 	restarted.setFirstStart(false);
 	restarted.setMembers(2);
@@ -339,11 +339,11 @@
 	established.onHeard("starter", now, now);
 	restarted.onReport("teller", 1, {"team", 5000.0}, now, 30 * kSecond);
 	restarted.onHeard("teller", now, now);
-	EXPECT_FALSE(restarted.take("team", 10.0, now).passes()) << "it does not know what is left";
+	EXPECT_FALSE(restarted.take("team", 10.0, now).passes()) << "the restarted gateway does not know what is left";
 	restarted.adoptLevels(established.levelsToReport(now), now);
 	EXPECT_TRUE(restarted.take("team", 10.0, now).passes());
 	restarted.onReport("another", 1, {"team", 5000.0}, now, 20 * kSecond);
-	EXPECT_TRUE(restarted.take("team", 10.0, now).passes()) << "what came before is in the level already";
+	EXPECT_TRUE(restarted.take("team", 10.0, now).passes()) << "usage from before is in the adopted level already";
 }
 
 TEST(QuotaLedger, tellsWhenToTryAgain)
