--- a/src/coordination/directory.cpp
+++ b/src/coordination/directory.cpp
@@ -27,17 +27,17 @@
 	return "unknown";
 }
 
-std::string_view toString(Standing _standing)
+std::string_view toString(ListingState _standing)
 {
 	switch (_standing)
 	{
-	case Standing::Listed:
+	case ListingState::Listed:
 		return "listed";
-	case Standing::Lapsed:
+	case ListingState::Lapsed:
 		return "lapsed";
-	case Standing::Vanished:
+	case ListingState::Vanished:
 		return "vanished";
-	case Standing::Gone:
+	case ListingState::Gone:
 		return "gone";
 	}
 	return "unknown";
@@ -235,32 +235,32 @@
 	return _now - m_confirmed;
 }
 
-Standing Directory::standingOf(const KnownBackend& _known, Micros _now)
+ListingState Directory::listingStateOf(const KnownBackend& _known, Micros _now)
 {
 	if (_known.record.draining || _known.misdirected)
 	{
-		return Standing::Gone;
+		return ListingState::Gone;
 	}
 	if (_known.vanishedAt == kNever)
 	{
-		return Standing::Listed;
+		return ListingState::Listed;
 	}
 	if (_now < _known.lapsedUntil)
 	{
-		return Standing::Lapsed;
+		return ListingState::Lapsed;
 	}
-	return _now < _known.graceUntil ? Standing::Vanished : Standing::Gone;
+	return _now < _known.graceUntil ? ListingState::Vanished : ListingState::Gone;
 }
 
-Standing Directory::standing(const BackendIdentity& _backend, Micros _now) const
+ListingState Directory::listingState(const BackendIdentity& _backend, Micros _now) const
 {
 	const KnownBackend* known = find(_backend);
-	return known ? standingOf(*known, _now) : Standing::Gone;
+	return known ? listingStateOf(*known, _now) : ListingState::Gone;
 }
 
 bool Directory::takesWork(const BackendIdentity& _backend, Micros _now) const
 {
-	return standing(_backend, _now) != Standing::Gone;
+	return listingState(_backend, _now) != ListingState::Gone;
 }
 
 std::vector<const KnownBackend*> Directory::usableOf(const std::string& _service, Micros _now) const
@@ -273,12 +273,12 @@
 		{
 			continue;
 		}
-		const Standing standing = standingOf(known, _now);
-		if (standing == Standing::Listed || standing == Standing::Lapsed)
+		const ListingState listingState = listingStateOf(known, _now);
+		if (listingState == ListingState::Listed || listingState == ListingState::Lapsed)
 		{
 			usable.push_back(&known);
 		}
-		else if (standing == Standing::Vanished)
+		else if (listingState == ListingState::Vanished)
 		{
 			vanished.push_back(&known);
 		}
--- a/src/coordination/directory.h
+++ b/src/coordination/directory.h
@@ -63,7 +63,7 @@
 };
 
 /// How a backend server stands on the list of a gateway.
-enum class Standing : std::uint8_t
+enum class ListingState : std::uint8_t
 {
 	Listed,   ///< It takes work.
 	Lapsed,   ///< Its record went in an outage of the store and may come back: it takes work.
@@ -72,7 +72,7 @@
 };
 
 /// @returns a short name for logs.
-std::string_view toString(Standing _standing);
+std::string_view toString(ListingState _standing);
 
 /// From what a gateway learnt that a backend server takes no new work any more.
 enum class LeavingSign : std::uint8_t
@@ -179,7 +179,7 @@
 	}
 
 	/// @returns how an incarnation of a backend server stands on the list.
-	Standing standing(const BackendIdentity& _backend, Micros _now) const;
+	ListingState listingState(const BackendIdentity& _backend, Micros _now) const;
 
 	/// @returns whether a request that was meant for a backend server may still be sent to it.
 	bool takesWork(const BackendIdentity& _backend, Micros _now) const;
@@ -194,7 +194,7 @@
 	std::vector<const KnownBackend*> usableOf(const std::string& _service, Micros _now) const;
 
 private:
-	static Standing standingOf(const KnownBackend& _known, Micros _now);
+	static ListingState listingStateOf(const KnownBackend& _known, Micros _now);
 	/// @param[in] _lastListed When the list before this one was certainly the newest.
 	void mergeBackends(const BackendList& _list, Micros _lastListed, Micros _now);
 	void mergeRecord(const BackendRecord& _record, Micros _now);
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -409,9 +409,9 @@
 {
 	const Micros now = monotonicNow();
 	m_attempt.listAge = m_context.directory.listAge(now);
-	m_attempt.standing = m_context.directory.standing(m_attempt.backend, now);
+	m_attempt.listingState = m_context.directory.listingState(m_attempt.backend, now);
 	m_attempt.backoffLeft = m_context.backoffs.left(m_attempt.key, now);
-	m_context.metrics.onSent(m_service, m_attempt.listAge, m_attempt.standing);
+	m_context.metrics.onSent(m_service, m_attempt.listAge, m_attempt.listingState);
 	m_context.metrics.onSentInBackoff(m_attempt.backoffLeft > 0);
 }
 
@@ -541,7 +541,7 @@
 			  {"config", m_config ? std::to_string(m_config->version) : "-"},
 			  {"config_age_ms", millisText(m_context.directory.age(now))},
 			  {"list_age_ms", m_sent == 0 ? "-" : millisText(m_attempt.listAge)},
-			  {"standing", m_sent == 0 ? "-" : std::string(toString(m_attempt.standing))},
+			  {"standing", m_sent == 0 ? "-" : std::string(toString(m_attempt.listingState))},
 			  {"backoff_left_ms", millisText(m_attempt.backoffLeft)}});
 }
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -69,11 +69,11 @@
 		AnswerInfo info;
 		std::string body;
 		EventSplitter events;
-		Micros listAge = 0;                 ///< How old the list of backend servers was as the request went out.
-		Standing standing = Standing::Gone; ///< Of the backend server on that list.
-		bool afterBackoff = false;          ///< One of the few that its backend server gets after a backoff.
-		Micros backoffLeft = 0;             ///< Of what the backend server asked for, as the request went out.
-		bool heldBack = false; ///< It was not sent for a reason that does not lie with the backend server.
+		Micros listAge = 0; ///< How old the list of backend servers was as the request went out.
+		ListingState listingState = ListingState::Gone; ///< Of the backend server on that list.
+		bool afterBackoff = false; ///< One of the few that its backend server gets after a backoff.
+		Micros backoffLeft = 0;    ///< Of what the backend server asked for, as the request went out.
+		bool heldBack = false;     ///< It was not sent for a reason that does not lie with the backend server.
 		bool onTheWire = false;
 		bool firstEvent = false;
 		Micros firstEventAt = 0;
--- a/src/gateway/gatewaymetrics.cpp
+++ b/src/gateway/gatewaymetrics.cpp
@@ -123,7 +123,7 @@
 	record(m_waits, _service, _waited);
 }
 
-void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, Standing _standing)
+void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, ListingState _standing)
 {
 	++m_sends[_standing];
 	record(m_listAges, _service, _listAge);
@@ -166,9 +166,9 @@
 	formatCounter(out, "beacongate_sends_in_backoff_total", m_sentInBackoff);
 	formatCounter(out, "beacongate_datagrams_unreadable_total", m_datagramsUnreadable);
 	out << "# TYPE beacongate_sends_total counter\n";
-	for (const auto& [standing, count] : m_sends)
+	for (const auto& [listingState, count] : m_sends)
 	{
-		out << "beacongate_sends_total{standing=" << quoted(toString(standing)) << "} " << count << '\n';
+		out << "beacongate_sends_total{standing=" << quoted(toString(listingState)) << "} " << count << '\n';
 	}
 	formatLatencies(out, "beacongate_request_seconds", "route", m_durations);
 	formatLatencies(out, "beacongate_first_byte_seconds", "service", m_firstBytes);
--- a/src/gateway/gatewaymetrics.h
+++ b/src/gateway/gatewaymetrics.h
@@ -54,7 +54,7 @@
 	/// A request went out to a backend server.
 	/// @param[in] listAge How old the list of backend servers was at that moment.
 	/// @param[in] standing Of the backend server on that list.
-	void onSent(const std::string& _service, Micros _listAge, Standing _standing);
+	void onSent(const std::string& _service, Micros _listAge, ListingState _standing);
 
 	/// A request waits for a newer list of backend servers.
 	/// @param[in] _again It was counted before.
@@ -126,7 +126,7 @@
 	Latencies m_waits;
 	Latencies m_listAges;
 	Latencies m_loopDelays;
-	std::map<Standing, std::uint64_t> m_sends;
+	std::map<ListingState, std::uint64_t> m_sends;
 };
 
 } // namespace beacongate
