--- a/src/coordination/directory.cpp
+++ b/src/coordination/directory.cpp
@@ -9,19 +9,19 @@
 
 namespace beacongate
 {
-std::string_view toString(LeavingSign _sign)
+std::string_view toString(DepartureSource _sign)
 {
 	switch (_sign)
 	{
-	case LeavingSign::Record:
+	case DepartureSource::Record:
 		return "record";
-	case LeavingSign::Missing:
+	case DepartureSource::Missing:
 		return "missing";
-	case LeavingSign::Unreadable:
+	case DepartureSource::Unreadable:
 		return "unreadable";
-	case LeavingSign::Peer:
+	case DepartureSource::Peer:
 		return "peer";
-	case LeavingSign::Answer:
+	case DepartureSource::Answer:
 		return "answer";
 	}
 	return "unknown";
@@ -108,7 +108,7 @@
 		if (!present.count(it->first) && known.vanishedAt == kNever)
 		{
 			markVanished(known, _lastListed, _now);
-			m_leavingNotices.push_back({known.record.identity(), LeavingSign::Missing});
+			m_departureNotices.push_back({known.record.identity(), DepartureSource::Missing});
 		}
 		const bool forgotten = known.vanishedAt != kNever && _now - known.vanishedAt > kVanishedMemory;
 		it = forgotten ? m_backends.erase(it) : std::next(it);
@@ -140,7 +140,7 @@
 	if (known.record.draining && known.drainingSince == kNever)
 	{
 		known.drainingSince = _now;
-		m_leavingNotices.push_back({_record.identity(), LeavingSign::Record});
+		m_departureNotices.push_back({_record.identity(), DepartureSource::Record});
 	}
 	known.vanishedAt = kNever;
 	known.lapsedUntil = 0;
@@ -162,7 +162,7 @@
 	if (known.vanishedAt == kNever)
 	{
 		known.vanishedAt = _now;
-		m_leavingNotices.push_back({known.record.identity(), LeavingSign::Unreadable});
+		m_departureNotices.push_back({known.record.identity(), DepartureSource::Unreadable});
 	}
 	known.graceUntil = 0;
 	known.lapsedUntil = 0;
@@ -201,20 +201,20 @@
 	}
 }
 
-void Directory::markDraining(const BackendIdentity& _backend, LeavingSign _sign, Micros _now)
+void Directory::markDraining(const BackendIdentity& _backend, DepartureSource _sign, Micros _now)
 {
 	KnownBackend* known = find(_backend);
 	if (known && !known->record.draining)
 	{
 		known->record.draining = true;
 		known->drainingSince = _now;
-		m_leavingNotices.push_back({_backend, _sign});
+		m_departureNotices.push_back({_backend, _sign});
 	}
 }
 
-std::vector<LeavingNotice> Directory::takeLeavingNotices()
+std::vector<DepartureNotice> Directory::takeDepartureNotices()
 {
-	return std::exchange(m_leavingNotices, {});
+	return std::exchange(m_departureNotices, {});
 }
 
 std::vector<BackendIdentity> Directory::drainingSince(Micros _moment) const
--- a/src/coordination/directory.h
+++ b/src/coordination/directory.h
@@ -75,7 +75,7 @@
 std::string_view toString(ListingState _standing);
 
 /// From what a gateway learnt that a backend server takes no new work any more.
-enum class LeavingSign : std::uint8_t
+enum class DepartureSource : std::uint8_t
 {
 	Record,     ///< Its record says so.
 	Missing,    ///< Its record went.
@@ -85,13 +85,13 @@
 };
 
 /// @returns a short name for logs.
-std::string_view toString(LeavingSign _sign);
+std::string_view toString(DepartureSource _sign);
 
 /// A backend server was first found to be leaving.
-struct LeavingNotice
+struct DepartureNotice
 {
 	BackendIdentity backend;
-	LeavingSign sign = LeavingSign::Record;
+	DepartureSource sign = DepartureSource::Record;
 };
 
 /// Merges snapshots so that nothing older ever replaces something newer.
@@ -142,13 +142,13 @@
 	void markMisdirected(const BackendIdentity& _backend);
 
 	/// An incarnation is known from elsewhere to be leaving; nothing changes where another one is listed.
-	void markDraining(const BackendIdentity& _backend, LeavingSign _sign, Micros _now);
+	void markDraining(const BackendIdentity& _backend, DepartureSource _sign, Micros _now);
 
 	/// @returns incarnations that were found to be leaving within a span.
 	std::vector<BackendIdentity> drainingSince(Micros _moment) const;
 
 	/// @returns what was found out about leaving backend servers since the last call, for the log.
-	std::vector<LeavingNotice> takeLeavingNotices();
+	std::vector<DepartureNotice> takeDepartureNotices();
 
 	/// @returns the configuration in force, or nullptr.
 	const RoutingConfigPtr& config() const
@@ -213,7 +213,7 @@
 	DrainBudget m_drain{2 * kSecond};
 	Micros m_outageEnded = kLongAgo;
 	std::map<std::string, KnownBackend> m_backends;
-	std::vector<LeavingNotice> m_leavingNotices; ///< One at most for each backend server and sign until taken.
+	std::vector<DepartureNotice> m_departureNotices; ///< One at most for each backend server and sign until taken.
 };
 
 } // namespace beacongate
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -55,7 +55,7 @@
 	{
 		// The server says so before its record does where the store is slow, and instead of it where the store is
 		// away. Who is another server than was meant speaks for itself alone.
-		m_context.directory.markDraining(m_attempt.backend, LeavingSign::Answer, monotonicNow());
+		m_context.directory.markDraining(m_attempt.backend, DepartureSource::Answer, monotonicNow());
 	}
 	if (info.backoffUnreadable)
 	{
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -169,7 +169,7 @@
 
 void Gossiper::logLeavingNotices()
 {
-	for (const LeavingNotice& notice : m_context.directory.takeLeavingNotices())
+	for (const DepartureNotice& notice : m_context.directory.takeDepartureNotices())
 	{
 		logEvent(LogLevel::Info, "backend-leaving",
 				 {{"backend", notice.backend.id},
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -149,7 +149,7 @@
 	}
 	for (const BackendIdentity& backend : message->draining)
 	{
-		m_context.directory.markDraining(backend, LeavingSign::Peer, now);
+		m_context.directory.markDraining(backend, DepartureSource::Peer, now);
 	}
 	if (config && config->version < message->configVersion && m_context.onNewsFromPeer)
 	{
--- a/tests/contenttest.cpp
+++ b/tests/contenttest.cpp
@@ -217,20 +217,20 @@
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b"), backendOf("c")}, 0}, kSecond);
-	EXPECT_TRUE(directory.takeLeavingNotices().empty());
-	directory.markDraining({"a"}, LeavingSign::Peer, 2 * kSecond);
-	directory.markDraining({"a"}, LeavingSign::Peer, 2 * kSecond);
+	EXPECT_TRUE(directory.takeDepartureNotices().empty());
+	directory.markDraining({"a"}, DepartureSource::Peer, 2 * kSecond);
+	directory.markDraining({"a"}, DepartureSource::Peer, 2 * kSecond);
 	directory.apply({2, configOf(1), {backendOf("a", true), backendOf("b", true)}, 0}, 2 * kSecond);
 	directory.apply({3, configOf(1), {backendOf("a", true), backendOf("b", true)}, 0}, 3 * kSecond);
 	std::vector<std::pair<std::string, std::string>> told;
-	for (const LeavingNotice& notice : directory.takeLeavingNotices())
+	for (const DepartureNotice& notice : directory.takeDepartureNotices())
 	{
 		told.emplace_back(notice.backend.id, toString(notice.sign));
 	}
 	const std::vector<std::pair<std::string, std::string>> expected{
 		{"a", "peer"}, {"b", "record"}, {"c", "missing"}};
 	EXPECT_EQ(told, expected);
-	EXPECT_TRUE(directory.takeLeavingNotices().empty());
+	EXPECT_TRUE(directory.takeDepartureNotices().empty());
 }
 
 TEST(Directory, ageCountsFromTheCallThatConfirmed)
--- a/tests/departurestest.cpp
+++ b/tests/departurestest.cpp
@@ -47,12 +47,12 @@
 {
 	Directory directory;
 	directory.applyList({1, {backendOf("a")}, kSecond}, kSecond);
-	directory.markDraining({"a"}, LeavingSign::Answer, 2 * kSecond);
+	directory.markDraining({"a"}, DepartureSource::Answer, 2 * kSecond);
 	directory.applyList({2, {backendOf("a")}, 3 * kSecond}, 3 * kSecond);
 	EXPECT_FALSE(directory.takesWork({"a"}, 3 * kSecond));
-	const std::vector<LeavingNotice> notices = directory.takeLeavingNotices();
+	const std::vector<DepartureNotice> notices = directory.takeDepartureNotices();
 	ASSERT_EQ(notices.size(), 1u);
-	EXPECT_EQ(notices[0].sign, LeavingSign::Answer);
+	EXPECT_EQ(notices[0].sign, DepartureSource::Answer);
 	EXPECT_EQ(directory.drainingSince(2 * kSecond).size(), 1u); // Peers are told.
 	BackendRecord again = backendOf("a");
 	again.born = 2;
--- a/tests/identitytest.cpp
+++ b/tests/identitytest.cpp
@@ -63,7 +63,7 @@
 	Directory directory;
 	directory.applyList({1, {recordOf("a", kFirst)}, kSecond}, kSecond);
 	directory.applyList({2, {recordOf("a", kSecondStart)}, kSecond}, kSecond);
-	directory.markDraining({"a", kFirst}, LeavingSign::Peer, kSecond);
+	directory.markDraining({"a", kFirst}, DepartureSource::Peer, kSecond);
 	directory.markMisdirected({"a", kFirst});
 	EXPECT_TRUE(directory.takesWork({"a", kSecondStart}, kSecond));
 	directory.markMisdirected({"a", kSecondStart});
@@ -135,7 +135,7 @@
 		}
 		else
 		{
-			directory.markDraining(named, LeavingSign::Peer, now);
+			directory.markDraining(named, DepartureSource::Peer, now);
 		}
 		drained = drained || (drains && event.born == newest);
 		const bool expected = present && !drained && newest != 0;
