--- a/src/coordination/directory.cpp
+++ b/src/coordination/directory.cpp
@@ -50,7 +50,7 @@
 		// A watch was faster than this read. What is known holds all that the read found, so the read confirms it:
 		// at the holder of the duties, reads that a watch outran had left the list unconfirmed for 3.9 s.
 		confirm(_snapshot.confirmed);
-		onUnchanged(_snapshot.confirmed);
+		confirmList(_snapshot.confirmed);
 		return false;
 	}
 	m_revision = _snapshot.revision;
@@ -69,12 +69,12 @@
 	if (_list.revision < m_listRevision)
 	{
 		// A read of the whole store that began earlier: it would bring records back that have gone since.
-		onUnchanged(_list.confirmed);
+		confirmList(_list.confirmed);
 		return;
 	}
 	// A list may also grow old because it comes slowly; records lapse only where the store could not be reached.
-	const bool lostSince = m_listConfirmed != kLongAgo && m_storeLost > m_listConfirmed;
-	if (lostSince && _now - m_listConfirmed > kOutage)
+	const bool lostSince = m_listConfirmed != kLongAgo && m_storeUnreachableAt > m_listConfirmed;
+	if (lostSince && _now - m_listConfirmed > kOutageThreshold)
 	{
 		m_outageEnded = _now;
 	}
@@ -84,7 +84,7 @@
 	mergeBackends(_list, lastListed, _now);
 }
 
-void Directory::onUnchanged(Micros _confirmed)
+void Directory::confirmList(Micros _confirmed)
 {
 	m_listConfirmed = std::max(m_listConfirmed, _confirmed);
 }
@@ -110,7 +110,7 @@
 			markVanished(known, _lastListed, _now);
 			m_departureNotices.push_back({known.record.identity(), DepartureSource::Missing});
 		}
-		const bool forgotten = known.vanishedAt != kNever && _now - known.vanishedAt > kVanishedMemory;
+		const bool forgotten = known.vanishedAt != kNever && _now - known.vanishedAt > kVanishedRetention;
 		it = forgotten ? m_backends.erase(it) : std::next(it);
 	}
 }
@@ -172,8 +172,8 @@
 {
 	_known.vanishedAt = _now;
 	_known.graceUntil = std::min(_now + kVanishedGrace, _lastListed + m_drain.listLife);
-	const bool mayHaveLapsed = _now - m_outageEnded < kLapseReturn;
-	_known.lapsedUntil = mayHaveLapsed ? m_outageEnded + kLapseReturn : 0;
+	const bool mayHaveLapsed = _now - m_outageEnded < kLapsedGrace;
+	_known.lapsedUntil = mayHaveLapsed ? m_outageEnded + kLapsedGrace : 0;
 }
 
 void Directory::confirm(Micros _confirmed)
--- a/src/coordination/directory.h
+++ b/src/coordination/directory.h
@@ -103,11 +103,11 @@
 	/// that the span that is allowed counts from there, however late its record was found missing.
 	static constexpr Micros kVanishedGrace = 800 * kMillisecond;
 	/// Without a snapshot for longer than this, records may have lapsed though their backend servers live.
-	static constexpr Micros kOutage = 1500 * kMillisecond;
+	static constexpr Micros kOutageThreshold = 1500 * kMillisecond;
 	/// After an outage, records that lapsed are back within this span; one that is still missing is gone.
-	static constexpr Micros kLapseReturn = 2 * kSecond;
+	static constexpr Micros kLapsedGrace = 2 * kSecond;
 	/// A vanished record is remembered for this long.
-	static constexpr Micros kVanishedMemory = 10 * kSecond;
+	static constexpr Micros kVanishedRetention = 10 * kSecond;
 
 	/// Takes in what was read.
 	/// @returns whether the configuration's version rose.
@@ -122,7 +122,7 @@
 
 	/// The present snapshot was found to be still the newest.
 	/// @param[in] confirmed Steady time at which it certainly was.
-	void onUnchanged(Micros _confirmed);
+	void confirmList(Micros _confirmed);
 
 	/// Sets the bound on requests to a server that has left.
 	/// @param[in] _bound Time from a departure's record until no request may reach the server.
@@ -133,9 +133,9 @@
 
 	/// The store is out of reach of this gateway, as StoreContact tells: records may lapse without their backend
 	/// servers' doing, and no newer list is to be had.
-	void onStoreLost(Micros _now)
+	void onStoreUnreachable(Micros _now)
 	{
-		m_storeLost = std::max(m_storeLost, _now);
+		m_storeUnreachableAt = std::max(m_storeUnreachableAt, _now);
 	}
 
 	/// A backend server answered that it is not the one that was meant. That says nothing of a later incarnation.
@@ -175,7 +175,7 @@
 	/// reached: nothing may be sent by it.
 	bool listOutdated(Micros _now) const
 	{
-		return listAge(_now) > m_drain.listLife && m_storeLost <= m_listConfirmed;
+		return listAge(_now) > m_drain.listLife && m_storeUnreachableAt <= m_listConfirmed;
 	}
 
 	/// @returns how an incarnation of a backend server stands on the list.
@@ -208,8 +208,8 @@
 	std::uint64_t m_revision = 0;
 	Micros m_confirmed = kLongAgo;
 	std::uint64_t m_listRevision = 0;
-	Micros m_listConfirmed = kLongAgo; ///< When the list of backend servers was certainly the newest.
-	Micros m_storeLost = kLongAgo;     ///< When the store was found out of reach last.
+	Micros m_listConfirmed = kLongAgo;      ///< When the list of backend servers was certainly the newest.
+	Micros m_storeUnreachableAt = kLongAgo; ///< When the store was found out of reach last.
 	DrainBudget m_drain{2 * kSecond};
 	Micros m_outageEnded = kLongAgo;
 	std::map<std::string, KnownBackend> m_backends;
--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -118,7 +118,7 @@
 void BackendListSync::waitOutOfReach(Micros _now)
 {
 	const StoreContact& contact = m_context.storeContact;
-	m_context.directory.onStoreLost(_now);
+	m_context.directory.onStoreUnreachable(_now);
 	if (!m_outOfReach)
 	{
 		m_outOfReach = true;
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -292,7 +292,7 @@
 	if (_revision == m_context.content.revision)
 	{
 		m_context.content.confirmed = std::max(m_context.content.confirmed, _confirmed);
-		m_context.directory.onUnchanged(_confirmed);
+		m_context.directory.confirmList(_confirmed);
 	}
 }
 
@@ -494,7 +494,7 @@
 		}
 		m_context.content.confirmed = std::max(m_context.content.confirmed, _confirmed);
 		m_context.directory.confirm(_confirmed);
-		m_context.directory.onUnchanged(_confirmed);
+		m_context.directory.confirmList(_confirmed);
 		return;
 	}
 	if (_confirmed > m_context.content.confirmed)
--- a/tests/contenttest.cpp
+++ b/tests/contenttest.cpp
@@ -104,14 +104,14 @@
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, kSecond}, kSecond);
-	const Micros back = kSecond + Directory::kOutage + kMillisecond;
-	directory.onStoreLost(back - kMillisecond);
+	const Micros back = kSecond + Directory::kOutageThreshold + kMillisecond;
+	directory.onStoreUnreachable(back - kMillisecond);
 	directory.apply({5, configOf(1), {}, back}, back);
 	EXPECT_EQ(directory.usableOf("model", back).size(), 2u);
 	// One returns first: it must not get the whole load.
 	directory.apply({6, configOf(1), {backendOf("a")}, back + kSecond}, back + kSecond);
 	EXPECT_EQ(directory.usableOf("model", back + kSecond).size(), 2u);
-	const auto later = directory.usableOf("model", back + Directory::kLapseReturn);
+	const auto later = directory.usableOf("model", back + Directory::kLapsedGrace);
 	ASSERT_EQ(later.size(), 1u);
 	EXPECT_EQ(later[0]->record.id, "a");
 }
@@ -121,11 +121,11 @@
 	Directory directory;
 	Micros now = kSecond;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, 0}, now);
-	directory.onStoreLost(now);
+	directory.onStoreUnreachable(now);
 	for (int poll = 0; poll < 10; ++poll)
 	{
 		now += kSecond;
-		directory.onUnchanged(now);
+		directory.confirmList(now);
 	}
 	directory.apply({2, configOf(1), {backendOf("b")}, now + kSecond}, now + kSecond);
 	EXPECT_EQ(directory.usableOf("model", now + kSecond).size(), 1u);
@@ -135,13 +135,13 @@
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, kSecond}, kSecond);
-	const Micros late = kSecond + 2 * Directory::kOutage;
+	const Micros late = kSecond + 2 * Directory::kOutageThreshold;
 	directory.apply({5, configOf(1), {backendOf("b")}, late}, late);
 	ASSERT_EQ(directory.usableOf("model", late).size(), 1u);
 	EXPECT_FALSE(directory.takesWork({"a"}, late + Directory::kVanishedGrace));
 	// Nor is it one where a read failed before the list was last confirmed.
-	directory.onStoreLost(late + kMillisecond);
-	directory.onUnchanged(late + 2 * kMillisecond);
+	directory.onStoreUnreachable(late + kMillisecond);
+	directory.confirmList(late + 2 * kMillisecond);
 	directory.apply({6, configOf(1), {}, 2 * late}, 2 * late);
 	EXPECT_FALSE(directory.takesWork({"b"}, 2 * late + Directory::kVanishedGrace));
 }
@@ -183,7 +183,7 @@
 		now += static_cast<Micros>(event % 11) * 100 * kMillisecond;
 		if (event % 7 == 0)
 		{
-			directory.onStoreLost(now);
+			directory.onStoreUnreachable(now);
 		}
 		std::vector<BackendRecord> backends;
 		if (event % 2 == 0)
@@ -206,8 +206,8 @@
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a", true), backendOf("b")}, kSecond}, kSecond);
-	const Micros back = kSecond + 2 * Directory::kOutage;
-	directory.onStoreLost(back - kMillisecond);
+	const Micros back = kSecond + 2 * Directory::kOutageThreshold;
+	directory.onStoreUnreachable(back - kMillisecond);
 	directory.apply({5, configOf(1), {}, back}, back);
 	ASSERT_EQ(directory.usableOf("model", back).size(), 1u);
 	EXPECT_EQ(directory.usableOf("model", back)[0]->record.id, "b");
