--- a/src/coordination/directory.cpp
+++ b/src/coordination/directory.cpp
@@ -171,7 +171,7 @@
 void Directory::markVanished(KnownBackend& _known, Micros _lastListed, Micros _now)
 {
 	_known.vanishedAt = _now;
-	_known.graceUntil = std::min(_now + kVanishedGrace, _lastListed + m_drain.listLife);
+	_known.graceUntil = std::min(_now + kVanishedGrace, _lastListed + m_drain.maxListAge);
 	const bool mayHaveLapsed = _now - m_outageEnded < kLapsedGrace;
 	_known.lapsedUntil = mayHaveLapsed ? m_outageEnded + kLapsedGrace : 0;
 }
--- a/src/coordination/directory.h
+++ b/src/coordination/directory.h
@@ -175,7 +175,7 @@
 	/// reached: nothing may be sent by it.
 	bool listOutdated(Micros _now) const
 	{
-		return listAge(_now) > m_drain.listLife && m_storeUnreachableAt <= m_listConfirmed;
+		return listAge(_now) > m_drain.maxListAge && m_storeUnreachableAt <= m_listConfirmed;
 	}
 
 	/// @returns how an incarnation of a backend server stands on the list.
--- a/src/coordination/listreadpace.h
+++ b/src/coordination/listreadpace.h
@@ -20,7 +20,7 @@
 class ListReadPace
 {
 public:
-	explicit ListReadPace(const DrainBudget& _budget) : m_firstPause(_budget.overlap)
+	explicit ListReadPace(const DrainBudget& _budget) : m_firstPause(_budget.secondReadDelay)
 	{
 	}
 
@@ -31,7 +31,7 @@
 	}
 
 	/// A read was begun.
-	void onBegun(Micros _now)
+	void onReadStarted(Micros _now)
 	{
 		m_lastBegun = _now;
 		m_pause = m_silent ? 2 * m_pause : m_firstPause;
--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -75,7 +75,7 @@
 		return;
 	}
 	const Micros age = m_context.directory.listAge(now);
-	if (age < m_budget.readFrom)
+	if (age < m_budget.listReadAge)
 	{
 		rest(age);
 	}
@@ -94,7 +94,7 @@
 	noteInReach(_age);
 	m_context.storeContact.onNotNeeded();
 	m_pace.onAnswered();
-	schedule(std::max(kLook, m_budget.readFrom - _age));
+	schedule(std::max(kLook, m_budget.listReadAge - _age));
 }
 
 void BackendListSync::noteInReach(Micros _age)
@@ -161,14 +161,14 @@
 
 void BackendListSync::startProbe(Micros _now)
 {
-	m_pace.onBegun(_now);
+	m_pace.onReadStarted(_now);
 	m_probing = true;
 	if (!m_probe)
 	{
 		m_probe = std::make_shared<RangeReader>(m_context.loop, m_context.storeContact, m_context.settings.store,
 												std::string(kHolderKey), kLongest);
 	}
-	m_probe->read(m_budget.listLife,
+	m_probe->read(m_budget.maxListAge,
 				  [self = shared_from_this()](const std::optional<StoreContent>& _content)
 				  {
 					  self->m_probing = false;
@@ -181,7 +181,7 @@
 
 void BackendListSync::startRead(Micros _now)
 {
-	m_pace.onBegun(_now);
+	m_pace.onReadStarted(_now);
 	ReaderPtr reader = std::exchange(m_spare, nullptr);
 	if (!reader)
 	{
@@ -190,7 +190,7 @@
 	}
 	m_reads.push_back(reader);
 	// An answer that takes longer would bring a list that is too old to send by.
-	reader->read(m_budget.listLife,
+	reader->read(m_budget.maxListAge,
 				 [self = shared_from_this(), weak = std::weak_ptr<RangeReader>(reader)](
 					 std::optional<StoreContent> _content) { self->onList(weak.lock(), std::move(_content)); });
 }
--- a/tests/departurestest.cpp
+++ b/tests/departurestest.cpp
@@ -21,7 +21,7 @@
 {
 constexpr Micros kDrainBound = 2 * kSecond; ///< That a directory keeps where it is told no other.
 constexpr Micros kLook = 50 * kMillisecond; ///< Between two looks at whether a read is due.
-constexpr Micros kPatience = DrainBudget(kDrainBound).patience;
+constexpr Micros kPatience = DrainBudget(kDrainBound).storeTimeout;
 
 BackendRecord backendOf(const std::string& _id)
 {
@@ -186,11 +186,11 @@
 		const DrainBudget budget(bound);
 		ListReadPace pace(budget);
 		unsigned reads = 0;
-		for (Micros now = kSecond; now < kSecond + budget.patience; now += kLook)
+		for (Micros now = kSecond; now < kSecond + budget.storeTimeout; now += kLook)
 		{
 			if (pace.due(now))
 			{
-				pace.onBegun(now);
+				pace.onReadStarted(now);
 				++reads;
 			}
 		}
@@ -209,7 +209,7 @@
 		std::deque<Micros> asked;
 		Micros confirmed = kSecond;
 		Micros oldest = 0;
-		for (Micros now = kSecond + budget.readFrom; now < 20 * kSecond; now += kLook)
+		for (Micros now = kSecond + budget.listReadAge; now < 20 * kSecond; now += kLook)
 		{
 			// Once the first answer of the slow store has come: until then the list may be as old as it takes.
 			const bool slowKnown = confirmed > kSecond;
@@ -220,13 +220,13 @@
 				asked.pop_front();
 				pace.onAnswered();
 			}
-			if (now - confirmed >= budget.readFrom && pace.due(now))
+			if (now - confirmed >= budget.listReadAge && pace.due(now))
 			{
-				pace.onBegun(now);
+				pace.onReadStarted(now);
 				asked.push_back(now);
 			}
 		}
-		EXPECT_LE(oldest, budget.listLife + kLook) << bound;
+		EXPECT_LE(oldest, budget.maxListAge + kLook) << bound;
 	}
 }
 
--- a/tests/readersharetest.cpp
+++ b/tests/readersharetest.cpp
@@ -35,7 +35,7 @@
 {
 	constexpr std::uint64_t kBytes = 3000 * kRecordBytes;
 	const double all = 302.0 * kBytes / kStoreLink;
-	EXPECT_GT(all, secondsOf(DrainBudget(kDrainBound).listLife));
+	EXPECT_GT(all, secondsOf(DrainBudget(kDrainBound).maxListAge));
 	const std::size_t readers = readersOf(302, kBytes);
 	EXPECT_GE(readers, 8U);
 	EXPECT_LT(static_cast<double>(readers * kBytes) / kStoreLink, secondsOf(DrainBudget(kDrainBound).overlap));
