--- a/src/coordination/directory.h
+++ b/src/coordination/directory.h
@@ -131,8 +131,8 @@
 		m_drain = DrainBudget(_bound);
 	}
 
-	/// The store is out of reach of this gateway, as StoreContact tells: records may lapse without their backend
-	/// servers' doing, and no newer list is to be had.
+	/// The store is out of reach of this gateway, as StoreReachability tells: records may lapse without their
+	/// backend servers' doing, and no newer list is to be had.
 	void onStoreUnreachable(Micros _now)
 	{
 		m_storeUnreachableAt = std::max(m_storeUnreachableAt, _now);
--- a/src/coordination/storecontact.cpp
+++ b/src/coordination/storereachability.cpp
@@ -1,16 +1,16 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "coordination/storecontact.h"
+#include "coordination/storereachability.h"
 
 namespace beacongate
 {
-void StoreContact::onAsked(Micros _now)
+void StoreReachability::onReadSent(Micros _now)
 {
 	m_waiting.insert(_now);
 }
 
-void StoreContact::onHeard(Micros _now)
+void StoreReachability::onBytesReceived(Micros _now)
 {
 	m_lastHeard = _now;
 	m_provenSilent = false;
@@ -18,26 +18,26 @@
 	m_lastTurnedAway = kLongAgo;
 }
 
-void StoreContact::onAnswered(Micros _asked, Micros _now)
+void StoreReachability::onAnswered(Micros _asked, Micros _now)
 {
-	onHeard(_now);
+	onBytesReceived(_now);
 	onEnded(_asked, _now);
 	m_latency = _now - _asked;
 }
 
-void StoreContact::onTurnedAway(Micros _asked, Micros _now)
+void StoreReachability::onReadRejected(Micros _asked, Micros _now)
 {
 	onEnded(_asked, _now);
 	m_firstTurnedAway = m_firstTurnedAway == kLongAgo ? _now : m_firstTurnedAway;
 	m_lastTurnedAway = _now;
 }
 
-void StoreContact::onGivenUp(Micros _asked, Micros _now)
+void StoreReachability::onReadAbandoned(Micros _asked, Micros _now)
 {
 	onEnded(_asked, _now);
 }
 
-void StoreContact::onHeldUp(Micros _span, Micros _now)
+void StoreReachability::onProcessStalled(Micros _span, Micros _now)
 {
 	if (!m_waiting.empty())
 	{
@@ -45,14 +45,14 @@
 	}
 }
 
-void StoreContact::onNotNeeded()
+void StoreReachability::resetFindings()
 {
 	m_provenSilent = false;
 	m_firstTurnedAway = kLongAgo;
 	m_lastTurnedAway = kLongAgo;
 }
 
-void StoreContact::onEnded(Micros _asked, Micros _now)
+void StoreReachability::onEnded(Micros _asked, Micros _now)
 {
 	const auto it = m_waiting.find(_asked);
 	if (it != m_waiting.end())
--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -68,7 +68,7 @@
 void BackendListSync::check()
 {
 	const Micros now = monotonicNow();
-	m_context.storeContact.onHeldUp(std::max<Micros>(0, now - m_due), now);
+	m_context.storeContact.onProcessStalled(std::max<Micros>(0, now - m_due), now);
 	if (m_context.directory.revision() == 0)
 	{
 		schedule(kLookAtStart);
@@ -79,7 +79,7 @@
 	{
 		rest(age);
 	}
-	else if (m_context.storeContact.outOfReach(now))
+	else if (m_context.storeContact.isUnreachable(now))
 	{
 		waitOutOfReach(now);
 	}
@@ -92,7 +92,7 @@
 void BackendListSync::rest(Micros _age)
 {
 	noteInReach(_age);
-	m_context.storeContact.onNotNeeded();
+	m_context.storeContact.resetFindings();
 	m_pace.onAnswered();
 	schedule(std::max(kLook, m_budget.listReadAge - _age));
 }
@@ -117,13 +117,13 @@
 
 void BackendListSync::waitOutOfReach(Micros _now)
 {
-	const StoreContact& contact = m_context.storeContact;
+	const StoreReachability& contact = m_context.storeContact;
 	m_context.directory.onStoreUnreachable(_now);
 	if (!m_outOfReach)
 	{
 		m_outOfReach = true;
 		logEvent(LogLevel::Warning, "store-out-of-reach",
-				 {{"cause", contact.turnedAway() ? "turned-away" : "silent"},
+				 {{"cause", contact.rejectsReads() ? "turned-away" : "silent"},
 				  {"silent_ms", millisText(contact.silence(_now))},
 				  {"list_age_ms", millisText(m_context.directory.listAge(_now))}});
 		// Their connections may be dead, and would keep later reads from beginning.
--- a/src/gateway/gatewaycontext.h
+++ b/src/gateway/gatewaycontext.h
@@ -23,7 +23,7 @@
 #include "coordination/readershare.h"
 #include "coordination/relaychoice.h"
 #include "coordination/sharedretrybudget.h"
-#include "coordination/storecontact.h"
+#include "coordination/storereachability.h"
 #include "coordination/streamlengths.h"
 #include "coordination/usageledger.h"
 #include "daemon/clock.h"
@@ -94,7 +94,7 @@
 	Micros relayAnswered = kLongAgo;      ///< When a relay said anything last.
 	ContentHistory history;
 	BackendRecords backendRecords;
-	StoreContact storeContact;
+	StoreReachability storeContact;
 	Balancer balancer;
 	BackoffTable backoffs;
 	QuotaLedger quotas;
--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kTooManyCalls = 429; ///< All gateways together ask too often: the store is well.
 } // namespace
 
-RangeReader::RangeReader(boost::asio::io_context& _loop, StoreContact& _contact, const Address& _store,
+RangeReader::RangeReader(boost::asio::io_context& _loop, StoreReachability& _contact, const Address& _store,
 						 std::string _prefix, Micros _longest)
 	: m_contact(_contact), m_channel(std::make_shared<HttpChannel>(_loop, _store, limits::kSnapshotBytes)),
 	  m_prefix(std::move(_prefix)), m_longest(_longest)
@@ -39,7 +39,7 @@
 	m_channel->close();
 	if (m_asked != kNever)
 	{
-		m_contact.onGivenUp(std::exchange(m_asked, kNever), monotonicNow());
+		m_contact.onReadAbandoned(std::exchange(m_asked, kNever), monotonicNow());
 	}
 	m_handler = nullptr;
 }
@@ -51,10 +51,10 @@
 	request.onProgress = [this]
 	{
 		// The channel is closed before this reader goes, and calls nothing from then on.
-		m_contact.onHeard(monotonicNow());
+		m_contact.onBytesReceived(monotonicNow());
 	};
 	m_asked = monotonicNow();
-	m_contact.onAsked(m_asked);
+	m_contact.onReadSent(m_asked);
 	m_channel->call(std::move(request), m_silence,
 					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
 					{
@@ -80,7 +80,8 @@
 	{
 		const ChannelFault answered = busy ? ChannelFault::Busy : ChannelFault::TurnedAway;
 		m_fault = _answer ? answered : m_channel->fault();
-		m_fault == ChannelFault::TurnedAway ? m_contact.onTurnedAway(asked, now) : m_contact.onGivenUp(asked, now);
+		m_fault == ChannelFault::TurnedAway ? m_contact.onReadRejected(asked, now)
+											: m_contact.onReadAbandoned(asked, now);
 	}
 	onPage(page);
 }
--- a/src/gateway/rangereader.h
+++ b/src/gateway/rangereader.h
@@ -8,7 +8,7 @@
 #define BEACONGATE_GATEWAY_RANGEREADER_H
 
 #include "coordination/kvtypes.h"
-#include "coordination/storecontact.h"
+#include "coordination/storereachability.h"
 #include "transport/httpchannel.h"
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +20,7 @@
 
 namespace beacongate
 {
-/// One read at a time on a connection of its own; what it shows of the store is told to a StoreContact.
+/// One read at a time on a connection of its own; what it shows of the store is told to a StoreReachability.
 class RangeReader : public std::enable_shared_from_this<RangeReader>
 {
 public:
@@ -29,8 +29,8 @@
 	using Handler = std::function<void(std::optional<StoreContent>)>;
 
 	/// @param[in] _longest A page that is not whole after this span has failed.
-	RangeReader(boost::asio::io_context& _loop, StoreContact& _contact, const Address& _store, std::string _prefix,
-				Micros _longest);
+	RangeReader(boost::asio::io_context& _loop, StoreReachability& _contact, const Address& _store,
+				std::string _prefix, Micros _longest);
 
 	/// Begins to read. Nothing else may be being read.
 	/// @param[in] _silence A page that brings no bytes for this long has failed.
@@ -56,7 +56,7 @@
 	void onAnswer(const std::optional<HttpAnswer>& _answer);
 	void onPage(const std::optional<KvPage>& _page);
 
-	StoreContact& m_contact;
+	StoreReachability& m_contact;
 	std::shared_ptr<HttpChannel> m_channel;
 	std::string m_prefix;
 	Micros m_silence = 0;
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -306,7 +306,7 @@
 		scheduleRead(kRetryMin);
 		return;
 	}
-	m_reads->read(m_context.storeContact.readSilence(kReadSilence),
+	m_reads->read(m_context.storeContact.readTimeout(kReadSilence),
 				  [self = shared_from_this()](std::optional<StoreContent> _content)
 				  { self->onRead(std::move(_content)); });
 }
--- a/tests/departurestest.cpp
+++ b/tests/departurestest.cpp
@@ -6,7 +6,7 @@
 
 #include "coordination/directory.h"
 #include "coordination/listreadpace.h"
-#include "coordination/storecontact.h"
+#include "coordination/storereachability.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -77,94 +77,94 @@
 	}
 }
 
-TEST(StoreContact, oneSilentReadProvesNothingBeforeThePatienceIsOver)
+TEST(StoreReachability, oneSilentReadProvesNothingBeforeThePatienceIsOver)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	EXPECT_FALSE(contact.outOfReach(kSecond + kPatience - 1));
-	EXPECT_TRUE(contact.outOfReach(kSecond + kPatience));
-	contact.onHeard(kSecond + kPatience);
-	EXPECT_FALSE(contact.outOfReach(kSecond + kPatience));
+	StoreReachability contact(kPatience);
+	contact.onReadSent(kSecond);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + kPatience - 1));
+	EXPECT_TRUE(contact.isUnreachable(kSecond + kPatience));
+	contact.onBytesReceived(kSecond + kPatience);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + kPatience));
 }
 
-TEST(StoreContact, aReadThatWasGivenUpProvesNoMoreThanItWaited)
+TEST(StoreReachability, aReadThatWasGivenUpProvesNoMoreThanItWaited)
 {
 	// Reads that are dropped and begun anew never find out about a store that is slower than that.
 	constexpr Micros kDropped = kPatience * 3 / 4;
-	StoreContact contact(kPatience);
+	StoreReachability contact(kPatience);
 	Micros now = kSecond;
 	for (int read = 0; read < 10; ++read)
 	{
-		contact.onAsked(now);
-		EXPECT_FALSE(contact.outOfReach(now + kDropped));
-		contact.onGivenUp(now, now + kDropped);
+		contact.onReadSent(now);
+		EXPECT_FALSE(contact.isUnreachable(now + kDropped));
+		contact.onReadAbandoned(now, now + kDropped);
 		now += kDropped;
 	}
-	contact.onAsked(now);
-	EXPECT_TRUE(contact.outOfReach(now + kPatience));
-	contact.onGivenUp(now, now + kPatience);
-	EXPECT_TRUE(contact.outOfReach(now + kPatience));
+	contact.onReadSent(now);
+	EXPECT_TRUE(contact.isUnreachable(now + kPatience));
+	contact.onReadAbandoned(now, now + kPatience);
+	EXPECT_TRUE(contact.isUnreachable(now + kPatience));
 }
 
-TEST(StoreContact, aTimeOutThatFiresBeforeAnyoneLooksProvesNothing)
+TEST(StoreReachability, aTimeOutThatFiresBeforeAnyoneLooksProvesNothing)
 {
 	// The process was held up; its timers fire first, and the answers that have come are read after them.
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	contact.onGivenUp(kSecond, kSecond + 2 * kPatience);
-	EXPECT_FALSE(contact.outOfReach(kSecond + 2 * kPatience));
-	contact.onAsked(kSecond + 2 * kPatience);
-	EXPECT_FALSE(contact.outOfReach(kSecond + 3 * kPatience - 1));
+	StoreReachability contact(kPatience);
+	contact.onReadSent(kSecond);
+	contact.onReadAbandoned(kSecond, kSecond + 2 * kPatience);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + 2 * kPatience));
+	contact.onReadSent(kSecond + 2 * kPatience);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + 3 * kPatience - 1));
 }
 
-TEST(StoreContact, aStoreThatTurnsCallsAwayIsOutOfReachOnceItDidSoAgain)
+TEST(StoreReachability, aStoreThatTurnsCallsAwayIsOutOfReachOnceItDidSoAgain)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	contact.onTurnedAway(kSecond, kSecond);
-	EXPECT_FALSE(contact.outOfReach(2 * kSecond));
-	contact.onAsked(2 * kSecond);
-	contact.onTurnedAway(2 * kSecond, 2 * kSecond);
-	EXPECT_TRUE(contact.outOfReach(2 * kSecond));
-	contact.onAsked(3 * kSecond);
-	EXPECT_TRUE(contact.outOfReach(3 * kSecond));
+	StoreReachability contact(kPatience);
+	contact.onReadSent(kSecond);
+	contact.onReadRejected(kSecond, kSecond);
+	EXPECT_FALSE(contact.isUnreachable(2 * kSecond));
+	contact.onReadSent(2 * kSecond);
+	contact.onReadRejected(2 * kSecond, 2 * kSecond);
+	EXPECT_TRUE(contact.isUnreachable(2 * kSecond));
+	contact.onReadSent(3 * kSecond);
+	EXPECT_TRUE(contact.isUnreachable(3 * kSecond));
 	contact.onAnswered(3 * kSecond, 3 * kSecond + kMillisecond);
-	EXPECT_FALSE(contact.outOfReach(3 * kSecond + kMillisecond));
+	EXPECT_FALSE(contact.isUnreachable(3 * kSecond + kMillisecond));
 }
 
-TEST(StoreContact, timeInWhichThisProcessDidNotRunIsNoSilence)
+TEST(StoreReachability, timeInWhichThisProcessDidNotRunIsNoSilence)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
+	StoreReachability contact(kPatience);
+	contact.onReadSent(kSecond);
 	const Micros woken = kSecond + 2 * kPatience;
-	contact.onHeldUp(2 * kPatience - kMillisecond, woken);
-	EXPECT_FALSE(contact.outOfReach(woken));
-	EXPECT_TRUE(contact.outOfReach(woken + kPatience));
+	contact.onProcessStalled(2 * kPatience - kMillisecond, woken);
+	EXPECT_FALSE(contact.isUnreachable(woken));
+	EXPECT_TRUE(contact.isUnreachable(woken + kPatience));
 }
 
-TEST(StoreContact, whatWasFoundLongAgoSaysNothingOnceTheListCameByAnotherWay)
+TEST(StoreReachability, whatWasFoundLongAgoSaysNothingOnceTheListCameByAnotherWay)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	ASSERT_TRUE(contact.outOfReach(kSecond + kPatience));
-	contact.onGivenUp(kSecond, kSecond + kPatience);
-	ASSERT_TRUE(contact.outOfReach(2 * kSecond + kPatience));
-	contact.onAsked(2 * kSecond + kPatience); // Another read waits.
-	contact.onNotNeeded();
-	EXPECT_FALSE(contact.outOfReach(2 * kSecond + kPatience));
+	StoreReachability contact(kPatience);
+	contact.onReadSent(kSecond);
+	ASSERT_TRUE(contact.isUnreachable(kSecond + kPatience));
+	contact.onReadAbandoned(kSecond, kSecond + kPatience);
+	ASSERT_TRUE(contact.isUnreachable(2 * kSecond + kPatience));
+	contact.onReadSent(2 * kSecond + kPatience); // Another read waits.
+	contact.resetFindings();
+	EXPECT_FALSE(contact.isUnreachable(2 * kSecond + kPatience));
 }
 
-RC_GTEST_PROP(StoreContact, aStoreThatAnswersWithinThePatienceIsNeverOutOfReach,
+RC_GTEST_PROP(StoreReachability, aStoreThatAnswersWithinThePatienceIsNeverOutOfReach,
 			  (const std::vector<std::uint8_t>& latencies))
 {
 	// Reads overlap, and answers come in the order of the reads.
-	StoreContact contact(kPatience);
+	StoreReachability contact(kPatience);
 	std::deque<std::pair<Micros, Micros>> answers; ///< When they come, and when they were asked for.
 	Micros now = kSecond;
 	Micros last = 0;
 	for (const std::uint8_t latency : latencies)
 	{
-		contact.onAsked(now);
+		contact.onReadSent(now);
 		last = std::max(last, now + kPatience * latency / 256);
 		answers.emplace_back(std::min(last, now + kPatience - 1), now);
 		now += kListReadInterval;
@@ -172,10 +172,10 @@
 		{
 			const auto [came, asked] = answers.front();
 			answers.pop_front();
-			RC_ASSERT(!contact.outOfReach(came));
+			RC_ASSERT(!contact.isUnreachable(came));
 			contact.onAnswered(asked, came);
 		}
-		RC_ASSERT(!contact.outOfReach(now));
+		RC_ASSERT(!contact.isUnreachable(now));
 	}
 }
 
