--- a/src/coordination/roompolicy.h
+++ b/src/coordination/overloadpolicy.h
@@ -14,17 +14,17 @@
 namespace beacongate
 {
 /// What a request without room is weighed by. Times are of the steady clock.
-struct RoomContext
+struct OverloadContext
 {
 	Micros now = 0;          ///< When it is decided.
-	Micros aimEnd = 0;       ///< Until then an answer is in time.
-	Micros holdUntil = 0;    ///< Until then the caller waits, or the route allows it to.
+	Micros answerTarget = 0; ///< Until then an answer is in time.
+	Micros waitUntil = 0;    ///< Until then the caller waits, or the route allows it to.
 	bool sent = false;       ///< It was sent to a backend server before.
 	bool mayHaveRun = false; ///< It may have run there.
 };
 
 /// What becomes of it.
-enum class RoomDecision
+enum class OverloadDecision
 {
 	Wait,
 	RefuseLate,    ///< It cannot be answered in time any more, and makes room for what can.
@@ -34,16 +34,16 @@
 /// Decides for a request that no backend server can take now. One that can only be served too late is refused at
 /// once, while its caller has time to come again; one that may have run waits as long as it may, since a refusal
 /// could not promise anything.
-inline RoomDecision decideWithoutRoom(const RoomContext& _context, const Availability& _available)
+inline OverloadDecision decideOnOverload(const OverloadContext& _context, const Availability& _available)
 {
-	if (_context.now > _context.aimEnd && !_context.sent)
+	if (_context.now > _context.answerTarget && !_context.sent)
 	{
-		return RoomDecision::RefuseLate;
+		return OverloadDecision::RefuseLate;
 	}
 	const Micros patience =
-		_context.mayHaveRun ? _context.holdUntil : std::min(_context.aimEnd, _context.holdUntil);
-	return _available.waitsForBackoff() && _available.firstEnd > patience ? RoomDecision::RefuseBackoff
-																		  : RoomDecision::Wait;
+		_context.mayHaveRun ? _context.waitUntil : std::min(_context.answerTarget, _context.waitUntil);
+	return _available.waitsForBackoff() && _available.firstEnd > patience ? OverloadDecision::RefuseBackoff
+																		  : OverloadDecision::Wait;
 }
 
 /// @returns when a refused caller may come again: once a backoff has ended where nothing is sent before, else soon.
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -308,21 +308,21 @@
 	return m_context.backoffs.available(m_context.directory.usableOf(m_service, _now), m_tried, _now);
 }
 
-RoomContext Exchange::roomContext(Micros _now) const
+OverloadContext Exchange::roomContext(Micros _now) const
 {
 	return {_now, m_request.received + m_route->targetLatency, m_holdUntil, m_sent > 0, m_mayHaveRun};
 }
 
 bool Exchange::refuseWithoutRoom(const Availability& _available, Micros _now)
 {
-	const RoomDecision decision = decideWithoutRoom(roomContext(_now), _available);
-	if (decision == RoomDecision::Wait)
+	const OverloadDecision decision = decideOnOverload(roomContext(_now), _available);
+	if (decision == OverloadDecision::Wait)
 	{
 		return false;
 	}
 	refuse(Failure::NoBackend,
-		   decision == RoomDecision::RefuseLate ? "no backend server has room"
-												: "all backend servers asked for a backoff",
+		   decision == OverloadDecision::RefuseLate ? "no backend server has room"
+													: "all backend servers asked for a backoff",
 		   retryAfter(_now));
 	return true;
 }
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -9,7 +9,7 @@
 
 #include "beacongate/errors.h"
 #include "coordination/attemptpolicy.h"
-#include "coordination/roompolicy.h"
+#include "coordination/overloadpolicy.h"
 #include "gateway/gatewaycontext.h"
 #include "gateway/requestinfo.h"
 #include "protocol/eventstream.h"
@@ -101,7 +101,7 @@
 	/// @returns which backend servers it may be sent to now.
 	Availability available(Micros _now) const;
 	/// @returns what it is weighed by while nothing has room for it.
-	RoomContext roomContext(Micros _now) const;
+	OverloadContext roomContext(Micros _now) const;
 	/// Refuses what cannot be served in time.
 	/// @returns whether it was refused.
 	bool refuseWithoutRoom(const Availability& _available, Micros _now);
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -258,7 +258,7 @@
 	const Availability open = available(now);
 	attempts.anotherBackend =
 		!open.open.empty() || open.limited ||
-		(open.waitsForBackoff() && decideWithoutRoom(roomContext(now), open) == RoomDecision::Wait);
+		(open.waitsForBackoff() && decideOnOverload(roomContext(now), open) == OverloadDecision::Wait);
 	const AttemptDecision decision = decideAfterAttempt(_result, attempts);
 	m_context.metrics.onFailedAttempt(m_service, toString(_result));
 	logEvent(LogLevel::Info, "attempt-failed",
--- a/tests/backofftabletest.cpp
+++ b/tests/backofftabletest.cpp
@@ -5,7 +5,7 @@
 /// Backoffs that backend servers ask for, and what becomes of requests meanwhile, without a network.
 
 #include "coordination/balancer.h"
-#include "coordination/roompolicy.h"
+#include "coordination/overloadpolicy.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -52,7 +52,7 @@
 	std::vector<const KnownBackend*> all;
 };
 
-RoomContext waitingSince(Micros _received, Micros _now)
+OverloadContext waitingSince(Micros _received, Micros _now)
 {
 	return {_now, _received + kAim, _received + 5 * kSecond, false, false};
 }
@@ -178,18 +178,18 @@
 {
 	Availability available;
 	available.firstEnd = kSecond + kAim;
-	EXPECT_EQ(decideWithoutRoom(waitingSince(kSecond, kSecond), available), RoomDecision::Wait);
+	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), available), OverloadDecision::Wait);
 	available.firstEnd += 1;
-	EXPECT_EQ(decideWithoutRoom(waitingSince(kSecond, kSecond), available), RoomDecision::RefuseBackoff);
+	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), available), OverloadDecision::RefuseBackoff);
 }
 
 TEST(RoomPolicy, theDeadlineCountsWhereItIsShorterThanTheAim)
 {
 	Availability available;
 	available.firstEnd = kSecond + 200 * kMillisecond;
-	RoomContext context = waitingSince(kSecond, kSecond);
-	context.holdUntil = kSecond + 100 * kMillisecond;
-	EXPECT_EQ(decideWithoutRoom(context, available), RoomDecision::RefuseBackoff);
+	OverloadContext context = waitingSince(kSecond, kSecond);
+	context.waitUntil = kSecond + 100 * kMillisecond;
+	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::RefuseBackoff);
 }
 
 TEST(RoomPolicy, aServerThatIsFullOrLimitedMayHaveRoomAtAnyMoment)
@@ -197,23 +197,23 @@
 	Servers servers(2);
 	servers.table.onAsked(servers.key(0), 60 * kSecond, 0);
 	const Availability full = servers.available(kSecond);
-	EXPECT_EQ(decideWithoutRoom(waitingSince(kSecond, kSecond), full), RoomDecision::Wait);
+	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), full), OverloadDecision::Wait);
 	Availability limited;
 	limited.limited = true;
 	limited.firstEnd = 60 * kSecond;
-	EXPECT_EQ(decideWithoutRoom(waitingSince(kSecond, kSecond), limited), RoomDecision::Wait);
-	EXPECT_EQ(decideWithoutRoom(waitingSince(kSecond, kSecond + kAim + 1), limited), RoomDecision::RefuseLate);
+	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), limited), OverloadDecision::Wait);
+	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond + kAim + 1), limited), OverloadDecision::RefuseLate);
 }
 
 TEST(RoomPolicy, whatMayHaveRunWaitsAsLongAsItMay)
 {
 	Availability available;
 	available.firstEnd = 4 * kSecond;
-	RoomContext context = waitingSince(kSecond, kSecond);
+	OverloadContext context = waitingSince(kSecond, kSecond);
 	context.sent = true;
-	EXPECT_EQ(decideWithoutRoom(context, available), RoomDecision::RefuseBackoff);
+	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::RefuseBackoff);
 	context.mayHaveRun = true;
-	EXPECT_EQ(decideWithoutRoom(context, available), RoomDecision::Wait);
+	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::Wait);
 }
 
 RC_GTEST_PROP(RoomPolicy, aRefusalTellsNoMomentBeforeThereIsRoom, (std::uint16_t span, std::uint8_t drawn))
