--- a/src/coordination/backofftable.cpp
+++ b/src/coordination/backofftable.cpp
@@ -8,15 +8,15 @@
 
 namespace beacongate
 {
-void BackoffTable::onAsked(BackendKey _key, Micros _span, Micros _now)
+void BackoffTable::onBackoffRequested(BackendKey _key, Micros _span, Micros _now)
 {
 	if (_span <= 0)
 	{
 		return;
 	}
 	Entry& entry = m_entries[_key];
-	entry.end = std::max(entry.end, _now + std::min(_span, kLongest));
-	entry.most = kFirstAfter;
+	entry.end = std::max(entry.end, _now + std::min(_span, kMaxBackoff));
+	entry.most = kInitialInFlight;
 }
 
 Micros BackoffTable::left(BackendKey _key, Micros _now) const
@@ -32,7 +32,7 @@
 	{
 		return false;
 	}
-	if (_now - it->second.end > kReturnSpan)
+	if (_now - it->second.end > kRampUpSpan)
 	{
 		m_entries.erase(it);
 		return false;
@@ -51,7 +51,7 @@
 	Entry& entry = it->second;
 	entry.underWay -= std::min(entry.underWay, 1u);
 	entry.most *= _taken ? 2 : 1;
-	if (entry.most > kManyAfter)
+	if (entry.most > kMaxLimitedInFlight)
 	{
 		m_entries.erase(it);
 	}
@@ -59,7 +59,7 @@
 
 bool BackoffTable::isLimited(const Entry& _entry, Micros _now)
 {
-	return _entry.underWay >= _entry.most && _now - _entry.end <= kReturnSpan;
+	return _entry.underWay >= _entry.most && _now - _entry.end <= kRampUpSpan;
 }
 
 Availability BackoffTable::available(std::vector<const KnownBackend*> _candidates,
@@ -79,7 +79,7 @@
 		}
 		const Entry& entry = it->second;
 		const bool runs = entry.end > _now;
-		available.firstEnd = runs ? std::min(available.firstEnd, entry.end) : available.firstEnd;
+		available.earliestEnd = runs ? std::min(available.earliestEnd, entry.end) : available.earliestEnd;
 		const bool limited = !runs && isLimited(entry, _now);
 		available.limited = available.limited || limited;
 		return runs || limited;
--- a/src/coordination/backofftable.h
+++ b/src/coordination/backofftable.h
@@ -23,12 +23,12 @@
 	std::vector<const KnownBackend*> open; ///< May take a request.
 	/// One whose backoff has ended has as many requests as it may have for now; an answer lets the next ones in.
 	bool limited = false;
-	Micros firstEnd = kNever; ///< When the first of the backoffs ends; kNever where none runs.
+	Micros earliestEnd = kNever; ///< When the first of the backoffs ends; kNever where none runs.
 
 	/// @returns whether nothing can be sent before a backoff ends.
 	bool waitsForBackoff() const
 	{
-		return open.empty() && !limited && firstEnd != kNever;
+		return open.empty() && !limited && earliestEnd != kNever;
 	}
 };
 
@@ -42,17 +42,17 @@
 public:
 	/// One answer takes a backend server out for this long at most, so that a mistaken one does not lose it for
 	/// good. One that wants nothing for longer says so again when it is tried then.
-	static constexpr Micros kLongest = 600 * kSecond;
+	static constexpr Micros kMaxBackoff = 600 * kSecond;
 	/// Requests without an answer that a backend server may have right after its backoff. It was too full before:
 	/// all that wait for it at once would fill it again. Each answer that is no rejection doubles the number.
-	static constexpr unsigned kFirstAfter = 1;
+	static constexpr unsigned kInitialInFlight = 1;
 	/// From this number on, or this long after the backoff, it takes requests as any other.
-	static constexpr unsigned kManyAfter = 8;
-	static constexpr Micros kReturnSpan = 2 * kSecond;
+	static constexpr unsigned kMaxLimitedInFlight = 8;
+	static constexpr Micros kRampUpSpan = 2 * kSecond;
 
 	/// A backend server asked for nothing more for a span from now on. A shorter one than what is left changes
 	/// nothing: the longer one was asked for, too.
-	void onAsked(BackendKey _key, Micros _span, Micros _now);
+	void onBackoffRequested(BackendKey _key, Micros _span, Micros _now);
 
 	/// @returns how much of what a backend server asked for is left, 0 for none.
 	Micros left(BackendKey _key, Micros _now) const;
@@ -79,7 +79,7 @@
 	{
 		Micros end = 0;
 		unsigned underWay = 0; ///< Of the few after the backoff.
-		unsigned most = kFirstAfter;
+		unsigned most = kInitialInFlight;
 	};
 
 	/// @returns whether a backend server has as many requests as it may have for now.
--- a/src/coordination/overloadpolicy.h
+++ b/src/coordination/overloadpolicy.h
@@ -42,8 +42,8 @@
 	}
 	const Micros patience =
 		_context.mayHaveRun ? _context.waitUntil : std::min(_context.answerTarget, _context.waitUntil);
-	return _available.waitsForBackoff() && _available.firstEnd > patience ? OverloadDecision::RefuseBackoff
-																		  : OverloadDecision::Wait;
+	return _available.waitsForBackoff() && _available.earliestEnd > patience ? OverloadDecision::RefuseBackoff
+																			 : OverloadDecision::Wait;
 }
 
 /// @returns when a refused caller may come again: once a backoff has ended where nothing is sent before, else soon.
@@ -58,7 +58,7 @@
 	{
 		return _soon;
 	}
-	const Micros left = _all.firstEnd - _now;
+	const Micros left = _all.earliestEnd - _now;
 	return std::max(_soon, left + static_cast<Micros>(static_cast<double>(left) * kSpreadShare * _spread));
 }
 
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -65,7 +65,7 @@
 	if (info.backoff)
 	{
 		m_context.metrics.onBackoffAsked();
-		m_context.backoffs.onAsked(m_attempt.key, *info.backoff, monotonicNow());
+		m_context.backoffs.onBackoffRequested(m_attempt.key, *info.backoff, monotonicNow());
 	}
 }
 
--- a/tests/backofftabletest.cpp
+++ b/tests/backofftabletest.cpp
@@ -66,27 +66,27 @@
 	Micros end = 0;
 	for (const std::uint16_t span : spans)
 	{
-		servers.table.onAsked(servers.key(0), span * kMillisecond, now);
+		servers.table.onBackoffRequested(servers.key(0), span * kMillisecond, now);
 		end = std::max(end, now + span * kMillisecond);
 		now += span % 700 * kMillisecond;
 		const Availability available = servers.available(now);
 		RC_ASSERT(available.open.empty() == (now < end));
 		RC_ASSERT(servers.table.left(servers.key(0), now) == std::max<Micros>(0, end - now));
-		RC_ASSERT((available.firstEnd == kNever) == (now >= end));
+		RC_ASSERT((available.earliestEnd == kNever) == (now >= end));
 	}
 }
 
 TEST(BackoffTable, oneAnswerTakesAServerOutForABoundedSpan)
 {
 	Servers servers(1);
-	servers.table.onAsked(servers.key(0), 60'000 * kSecond, kSecond);
-	EXPECT_EQ(servers.table.left(servers.key(0), kSecond), BackoffTable::kLongest);
+	servers.table.onBackoffRequested(servers.key(0), 60'000 * kSecond, kSecond);
+	EXPECT_EQ(servers.table.left(servers.key(0), kSecond), BackoffTable::kMaxBackoff);
 }
 
 TEST(BackoffTable, zeroAsksForNothing)
 {
 	Servers servers(1);
-	servers.table.onAsked(servers.key(0), 0, kSecond);
+	servers.table.onBackoffRequested(servers.key(0), 0, kSecond);
 	EXPECT_EQ(servers.available(kSecond).open.size(), 1u);
 	EXPECT_FALSE(servers.table.onPlaced(servers.key(0), kSecond));
 }
@@ -94,7 +94,7 @@
 TEST(BackoffTable, aLaterStartUnderTheSameIdIsFree)
 {
 	Servers servers(1);
-	servers.table.onAsked(servers.key(0), 60 * kSecond, kSecond);
+	servers.table.onBackoffRequested(servers.key(0), 60 * kSecond, kSecond);
 	servers.known[0].record.born = 2;
 	servers.known[0].key = BackendKey(servers.known[0].record.identity());
 	EXPECT_EQ(servers.available(kSecond).open.size(), 1u);
@@ -110,20 +110,20 @@
 	Balancer balancer("a");
 	for (unsigned number = 0; number < 3; ++number)
 	{
-		servers.table.onAsked(servers.key(number), 3 * kSecond, kSecond);
+		servers.table.onBackoffRequested(servers.key(number), 3 * kSecond, kSecond);
 	}
 	const Availability available = servers.available(2 * kSecond);
 	EXPECT_EQ(balancer.choose(available.open, {}, {}, 2 * kSecond).backend, nullptr);
 	EXPECT_TRUE(available.waitsForBackoff());
-	EXPECT_EQ(available.firstEnd, 4 * kSecond);
+	EXPECT_EQ(available.earliestEnd, 4 * kSecond);
 }
 
 TEST(BackoffTable, whatARequestWasSentToBeforeIsNotWaitedFor)
 {
 	Servers servers(2);
-	servers.table.onAsked(servers.key(0), kSecond, 0);
-	servers.table.onAsked(servers.key(1), 5 * kSecond, 0);
-	EXPECT_EQ(servers.available(0, {"0"}).firstEnd, 5 * kSecond);
+	servers.table.onBackoffRequested(servers.key(0), kSecond, 0);
+	servers.table.onBackoffRequested(servers.key(1), 5 * kSecond, 0);
+	EXPECT_EQ(servers.available(0, {"0"}).earliestEnd, 5 * kSecond);
 }
 
 TEST(BackoffTable, afterItsEndAServerGetsFewRequestsAndWithEachAnswerMore)
@@ -134,7 +134,7 @@
 	constexpr unsigned kPlaces = 8;
 	Servers servers(1);
 	const BackendKey key = servers.key(0);
-	servers.table.onAsked(key, kSecond, 0);
+	servers.table.onBackoffRequested(key, kSecond, 0);
 	Micros now = kSecond;
 	unsigned waiting = kWaiting;
 	unsigned most = 0;
@@ -158,18 +158,18 @@
 		waiting -= placed;
 		now += 20 * kMillisecond;
 	}
-	EXPECT_EQ(rounds.front(), BackoffTable::kFirstAfter);
-	EXPECT_LE(rounds[1], 2 * BackoffTable::kFirstAfter);
+	EXPECT_EQ(rounds.front(), BackoffTable::kInitialInFlight);
+	EXPECT_LE(rounds[1], 2 * BackoffTable::kInitialInFlight);
 	EXPECT_EQ(most, kPlaces);
 }
 
 TEST(BackoffTable, requestsThatGetNoAnswerDoNotCloseAServerForGood)
 {
 	Servers servers(1);
-	servers.table.onAsked(servers.key(0), kSecond, 0);
+	servers.table.onBackoffRequested(servers.key(0), kSecond, 0);
 	EXPECT_TRUE(servers.table.onPlaced(servers.key(0), kSecond));
 	EXPECT_TRUE(servers.available(kSecond).open.empty());
-	EXPECT_EQ(servers.available(kSecond + BackoffTable::kReturnSpan + 1).open.size(), 1u);
+	EXPECT_EQ(servers.available(kSecond + BackoffTable::kRampUpSpan + 1).open.size(), 1u);
 	servers.table.onEnded(servers.key(0), false);
 	EXPECT_EQ(servers.available(kSecond).open.size(), 1u);
 }
@@ -177,16 +177,16 @@
 TEST(RoomPolicy, aRequestWaitsForABackoffThatEndsInTimeAndIsRefusedAtOnceOtherwise)
 {
 	Availability available;
-	available.firstEnd = kSecond + kAim;
+	available.earliestEnd = kSecond + kAim;
 	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), available), OverloadDecision::Wait);
-	available.firstEnd += 1;
+	available.earliestEnd += 1;
 	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), available), OverloadDecision::RefuseBackoff);
 }
 
 TEST(RoomPolicy, theDeadlineCountsWhereItIsShorterThanTheAim)
 {
 	Availability available;
-	available.firstEnd = kSecond + 200 * kMillisecond;
+	available.earliestEnd = kSecond + 200 * kMillisecond;
 	OverloadContext context = waitingSince(kSecond, kSecond);
 	context.waitUntil = kSecond + 100 * kMillisecond;
 	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::RefuseBackoff);
@@ -195,12 +195,12 @@
 TEST(RoomPolicy, aServerThatIsFullOrLimitedMayHaveRoomAtAnyMoment)
 {
 	Servers servers(2);
-	servers.table.onAsked(servers.key(0), 60 * kSecond, 0);
+	servers.table.onBackoffRequested(servers.key(0), 60 * kSecond, 0);
 	const Availability full = servers.available(kSecond);
 	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), full), OverloadDecision::Wait);
 	Availability limited;
 	limited.limited = true;
-	limited.firstEnd = 60 * kSecond;
+	limited.earliestEnd = 60 * kSecond;
 	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), limited), OverloadDecision::Wait);
 	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond + kAim + 1), limited), OverloadDecision::RefuseLate);
 }
@@ -208,7 +208,7 @@
 TEST(RoomPolicy, whatMayHaveRunWaitsAsLongAsItMay)
 {
 	Availability available;
-	available.firstEnd = 4 * kSecond;
+	available.earliestEnd = 4 * kSecond;
 	OverloadContext context = waitingSince(kSecond, kSecond);
 	context.sent = true;
 	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::RefuseBackoff);
@@ -219,9 +219,9 @@
 RC_GTEST_PROP(RoomPolicy, aRefusalTellsNoMomentBeforeThereIsRoom, (std::uint16_t span, std::uint8_t drawn))
 {
 	Availability all;
-	all.firstEnd = kSecond + span * kMillisecond;
+	all.earliestEnd = kSecond + span * kMillisecond;
 	const Micros told = retryAfterRefusal(all, drawn / 256.0, kSoon, kSecond);
-	RC_ASSERT(kSecond + told >= all.firstEnd);
+	RC_ASSERT(kSecond + told >= all.earliestEnd);
 	RC_ASSERT(told <= std::max(kSoon, span * kMillisecond * 5 / 4));
 	all.limited = true;
 	RC_ASSERT(retryAfterRefusal(all, 0.5, kSoon, kSecond) == kSoon);
