--- a/src/coordination/relaychoice.cpp
+++ b/src/coordination/relaychoice.cpp
@@ -11,7 +11,7 @@
 void RelayChoice::setMembers(const std::set<MemberRecord>& _members)
 {
 	m_members.clear();
-	m_heads.clear();
+	m_topMembers.clear();
 	std::set<std::string> hosts;
 	for (const MemberRecord& member : _members)
 	{
@@ -24,8 +24,9 @@
 	}
 	for (const auto& [dataCentre, ranked] : m_members)
 	{
-		const auto last = std::next(ranked.begin(), static_cast<std::ptrdiff_t>(std::min(kHeads, ranked.size())));
-		m_heads.insert(ranked.begin(), last);
+		const auto last =
+			std::next(ranked.begin(), static_cast<std::ptrdiff_t>(std::min(kTopMembers, ranked.size())));
+		m_topMembers.insert(ranked.begin(), last);
 	}
 	std::erase_if(m_failed, [&hosts](const auto& _entry) { return !hosts.count(_entry.first); });
 	std::erase_if(m_silent, [&hosts](const auto& _entry) { return !hosts.count(_entry.first); });
@@ -45,10 +46,10 @@
 	}
 }
 
-std::vector<std::string> RelayChoice::allHeads() const
+std::vector<std::string> RelayChoice::allTopMembers() const
 {
 	std::vector<std::string> hosts;
-	for (const MemberRecord& member : m_heads)
+	for (const MemberRecord& member : m_topMembers)
 	{
 		hosts.push_back(member.host);
 	}
@@ -68,7 +69,7 @@
 bool RelayChoice::avoided(const std::string& _host, Micros _now) const
 {
 	const auto failed = m_failed.find(_host);
-	const bool failedLately = failed != m_failed.end() && _now - failed->second <= kAvoided;
+	const bool failedLately = failed != m_failed.end() && _now - failed->second <= kFailureCooldown;
 	return failedLately || m_silent.count(_host) != 0;
 }
 
@@ -106,10 +107,10 @@
 	{
 		return m_holder;
 	}
-	return firstBefore(m_heads);
+	return firstBefore(m_topMembers);
 }
 
-std::vector<std::string> RelayChoice::heads(const std::string& _dataCentre, std::size_t _most) const
+std::vector<std::string> RelayChoice::topMembers(const std::string& _dataCentre, std::size_t _most) const
 {
 	std::vector<std::string> hosts;
 	const auto ranked = m_members.find(_dataCentre);
@@ -131,7 +132,7 @@
 	return hosts;
 }
 
-std::vector<std::string> RelayChoice::silentHeads(const std::string& _dataCentre) const
+std::vector<std::string> RelayChoice::silentTopMembers(const std::string& _dataCentre) const
 {
 	std::vector<std::string> hosts;
 	const auto ranked = m_members.find(_dataCentre);
@@ -142,7 +143,7 @@
 	std::size_t rank = 0;
 	for (const MemberRecord& member : ranked->second)
 	{
-		if (rank++ == kHeads)
+		if (rank++ == kTopMembers)
 		{
 			break;
 		}
@@ -171,12 +172,12 @@
 	{
 		return std::nullopt;
 	}
-	const auto head = m_heads.find(m_own);
-	if (head != m_heads.end())
+	const auto head = m_topMembers.find(m_own);
+	if (head != m_topMembers.end())
 	{
-		return static_cast<std::size_t>(std::distance(m_heads.begin(), head));
+		return static_cast<std::size_t>(std::distance(m_topMembers.begin(), head));
 	}
-	std::size_t position = m_heads.size();
+	std::size_t position = m_topMembers.size();
 	for (const auto& [name, ranked] : m_members)
 	{
 		position += static_cast<std::size_t>(std::count_if(ranked.begin(), ranked.end(),
--- a/src/coordination/relaychoice.h
+++ b/src/coordination/relaychoice.h
@@ -40,16 +40,16 @@
 	/// Up to so many members, the first of each data centre reads the store itself.
 	static constexpr std::size_t kSmallFleet = limits::kGossipPeers;
 	/// A member that failed is passed over for this long.
-	static constexpr Micros kAvoided = 5 * kSecond;
+	static constexpr Micros kFailureCooldown = 5 * kSecond;
 	/// A member whose content was old is passed over for this long: it may be about to find another way itself.
-	static constexpr Micros kStaleAvoided = 1 * kSecond;
+	static constexpr Micros kStaleCooldown = 1 * kSecond;
 	/// A member that was silent is passed over until it has been heard for this long, in which it hears the others,
 	/// once a second each. Before, the first collector of a data centre was followed with its first word after a
 	/// restart, and let the teams of its data centre have what all others had taken: 5% over a quota in 8 s that is
 	/// tolerated 10% over (one day with 87 gateways).
 	static constexpr Micros kWarmUp = 3 * kSecond;
 	/// Members of a data centre that others of the fleet may ask: the first one and one in reserve.
-	static constexpr std::size_t kHeads = 2;
+	static constexpr std::size_t kTopMembers = 2;
 
 	explicit RelayChoice(MemberRecord _own) : m_own(std::move(_own))
 	{
@@ -59,7 +59,7 @@
 	void setMembers(const std::set<MemberRecord>& _members);
 
 	/// Names the holder of the duties, who reads the store itself.
-	void setHolder(std::optional<std::string> _host)
+	void setDutyHolder(std::optional<std::string> _host)
 	{
 		m_holder = std::move(_host);
 	}
@@ -73,7 +73,7 @@
 	/// A member answered, and its content was old.
 	void onStale(const std::string& _host, Micros _now)
 	{
-		m_failed[_host] = _now - kAvoided + kStaleAvoided;
+		m_failed[_host] = _now - kFailureCooldown + kStaleCooldown;
 	}
 
 	/// A member was not heard though it should have been: it is passed over until it is heard.
@@ -89,13 +89,14 @@
 	std::optional<std::string> relay(Micros _now) const;
 
 	/// @returns the first members of a data centre that were not found silent, this gateway included.
-	std::vector<std::string> heads(const std::string& _dataCentre, std::size_t _most) const;
+	std::vector<std::string> topMembers(const std::string& _dataCentre, std::size_t _most) const;
 
-	/// @returns which of the first kHeads members of a data centre were found silent, to see whether they are back.
-	std::vector<std::string> silentHeads(const std::string& _dataCentre) const;
+	/// @returns which of the first kTopMembers members of a data centre were found silent, to see whether they are
+	/// back.
+	std::vector<std::string> silentTopMembers(const std::string& _dataCentre) const;
 
-	/// @returns the first kHeads members of each data centre, silent ones and this gateway included.
-	std::vector<std::string> allHeads() const;
+	/// @returns the first kTopMembers members of each data centre, silent ones and this gateway included.
+	std::vector<std::string> allTopMembers() const;
 
 	/// @returns all members that are listed.
 	std::size_t memberCount() const;
@@ -124,7 +125,7 @@
 
 	MemberRecord m_own;
 	std::map<std::string, Ranked> m_members; ///< By data centre.
-	Ranked m_heads;                          ///< The first kHeads of each data centre.
+	Ranked m_topMembers;                     ///< The first kTopMembers of each data centre.
 	std::optional<std::string> m_holder;
 	std::map<std::string, Micros> m_failed;
 	std::map<std::string, Micros> m_silent; ///< Since when each has been heard again; kNever while it has not.
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -139,7 +139,7 @@
 	const std::size_t members = m_context.peers.memberCount(now);
 	m_context.quotas.setMembers(members);
 	m_context.quotas.advance(now);
-	m_context.admission.setGrantors(m_context.relays.allHeads());
+	m_context.admission.setGrantors(m_context.relays.allTopMembers());
 	logGrantorNotices();
 	m_context.retryBudget.setMembers(members);
 	m_context.balancer.setPeerLoadLife(std::max(kSecond, kLoadPatience * GossipPlan::hearingSpan(members)));
@@ -291,8 +291,8 @@
 
 bool Gossiper::collects() const
 {
-	const auto heads = m_context.relays.heads(m_context.settings.dataCentre, RelayChoice::kHeads);
-	return std::find(heads.begin(), heads.end(), m_context.settings.callers.host) != heads.end();
+	const auto topMembers = m_context.relays.topMembers(m_context.settings.dataCentre, RelayChoice::kTopMembers);
+	return std::find(topMembers.begin(), topMembers.end(), m_context.settings.callers.host) != topMembers.end();
 }
 
 bool Gossiper::tellsAll(const std::vector<std::string>& _collectors)
@@ -338,7 +338,7 @@
 	m_table.expire(_now);
 	watchCollectors(_now);
 	const std::string& dataCentre = m_context.settings.dataCentre;
-	const auto heads = m_context.relays.heads(dataCentre, RelayChoice::kHeads);
+	const auto topMembers = m_context.relays.topMembers(dataCentre, RelayChoice::kTopMembers);
 	const bool collecting = collects();
 	GossipMessage report = describe(_now);
 	m_follower.onReported(_now, ownSums());
@@ -346,19 +346,19 @@
 	{
 		m_table.onReport(report, _now);
 	}
-	const bool whole = tellsAll(heads);
-	m_collectors = heads;
+	const bool whole = tellsAll(topMembers);
+	m_collectors = topMembers;
 	leaveOutUnchanged(report, whole);
 	const std::uint64_t window = m_context.currentWindow(_now);
 	const std::uint64_t windowsBack = whole ? kUsageWindowsBack : m_round % kRepeated == 0 ? 1 : 0;
 	report.usage = m_context.usage.ownCounts(window - std::min(window, windowsBack));
-	for (const std::string& host : heads)
+	for (const std::string& host : topMembers)
 	{
 		if (host == m_context.settings.callers.host)
 		{
 			continue;
 		}
-		report.wantsSums = !collecting && host == heads.front();
+		report.wantsSums = !collecting && host == topMembers.front();
 		report.echo = m_context.peers.echoFor(host);
 		send(report, host);
 		if (collecting || report.wantsSums)
@@ -369,13 +369,13 @@
 	if (m_round % kProbedEvery == 0)
 	{
 		report.wantsSums = false;
-		for (const std::string& host : m_context.relays.silentHeads(dataCentre))
+		for (const std::string& host : m_context.relays.silentTopMembers(dataCentre))
 		{
 			report.echo = m_context.peers.echoFor(host);
 			send(report, host);
 		}
 	}
-	if (collecting && heads.front() == m_context.settings.callers.host)
+	if (collecting && topMembers.front() == m_context.settings.callers.host)
 	{
 		sendCentreSums(_now);
 	}
@@ -419,16 +419,16 @@
 		{
 			continue;
 		}
-		const auto heads = m_context.relays.heads(dataCentre, RelayChoice::kHeads);
-		targets.insert(heads.begin(), heads.end());
-		for (const std::string& host : heads)
+		const auto topMembers = m_context.relays.topMembers(dataCentre, RelayChoice::kTopMembers);
+		targets.insert(topMembers.begin(), topMembers.end());
+		for (const std::string& host : topMembers)
 		{
 			m_watch.onAsked(host, _now);
 			m_collectors.push_back(host);
 		}
 		if (m_round % kProbedEvery == 0)
 		{
-			const auto silent = m_context.relays.silentHeads(dataCentre);
+			const auto silent = m_context.relays.silentTopMembers(dataCentre);
 			targets.insert(silent.begin(), silent.end());
 		}
 	}
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -443,7 +443,7 @@
 		}
 	}
 	m_context.relays.setMembers(members);
-	m_context.relays.setHolder(holderHost(_content));
+	m_context.relays.setDutyHolder(holderHost(_content));
 	if (_content.revision < m_context.directory.revision())
 	{
 		m_context.directory.apply(snapshot, now);
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -318,14 +318,14 @@
 
 	void startAdmission(Gateway& _gateway, unsigned _number)
 	{
-		std::vector<std::string> heads;
+		std::vector<std::string> topMembers;
 		for (unsigned head = 0; head < std::min(2 * kDataCentres, m_load.gateways); ++head)
 		{
-			heads.push_back(std::to_string(head));
+			topMembers.push_back(std::to_string(head));
 		}
 		_gateway.admission =
 			std::make_unique<QuotaAdmission>(_gateway.ledger, _gateway.grantor, std::to_string(_number), 0);
-		_gateway.admission->setGrantors(std::move(heads));
+		_gateway.admission->setGrantors(std::move(topMembers));
 		// The fleet may be moved; its gateways stay where they are.
 		_gateway.admission->setSend(
 			[&_gateway, _number](const std::string& _host, const QuotaMessage& _message) {
--- a/tests/contenttest.cpp
+++ b/tests/contenttest.cpp
@@ -337,7 +337,7 @@
 	EXPECT_EQ(third.relay(kSecond), "10.0.0.2");
 	third.onFailed("10.0.0.2", kSecond);
 	EXPECT_FALSE(third.relay(kSecond));
-	EXPECT_EQ(third.relay(2 * kSecond + RelayChoice::kAvoided), "10.0.0.1");
+	EXPECT_EQ(third.relay(2 * kSecond + RelayChoice::kFailureCooldown), "10.0.0.1");
 }
 
 TEST(RelayChoice, oneThatWasSilentIsFollowedOnceItHasHeardTheOthersForAWhile)
@@ -345,18 +345,18 @@
 	RelayChoice third({"10.0.0.3", "a"});
 	third.setMembers({{"10.0.0.1", "a"}, {"10.0.0.2", "a"}, {"10.0.0.3", "a"}});
 	third.onHeard("10.0.0.1", kSecond);
-	EXPECT_EQ(third.heads("a", 1), std::vector<std::string>{"10.0.0.1"});
+	EXPECT_EQ(third.topMembers("a", 1), std::vector<std::string>{"10.0.0.1"});
 	third.onSilent("10.0.0.1");
-	EXPECT_EQ(third.heads("a", 1), std::vector<std::string>{"10.0.0.2"});
+	EXPECT_EQ(third.topMembers("a", 1), std::vector<std::string>{"10.0.0.2"});
 	third.onHeard("10.0.0.1", 5 * kSecond);
-	EXPECT_EQ(third.heads("a", 1), std::vector<std::string>{"10.0.0.2"});
+	EXPECT_EQ(third.topMembers("a", 1), std::vector<std::string>{"10.0.0.2"});
 	EXPECT_EQ(third.relay(5 * kSecond), "10.0.0.2");
 	third.onSilent("10.0.0.1");
 	third.onHeard("10.0.0.1", 7 * kSecond);
 	third.onHeard("10.0.0.1", 7 * kSecond + RelayChoice::kWarmUp - 1);
-	EXPECT_EQ(third.silentHeads("a"), std::vector<std::string>{"10.0.0.1"});
+	EXPECT_EQ(third.silentTopMembers("a"), std::vector<std::string>{"10.0.0.1"});
 	third.onHeard("10.0.0.1", 7 * kSecond + RelayChoice::kWarmUp);
-	EXPECT_EQ(third.heads("a", 1), std::vector<std::string>{"10.0.0.1"});
+	EXPECT_EQ(third.topMembers("a", 1), std::vector<std::string>{"10.0.0.1"});
 }
 
 TEST(RelayChoice, ranksLargeVMsFirstAndAsksTheHolderAndOtherDataCentresBeforeTheStore)
@@ -379,22 +379,22 @@
 	RelayChoice first({"10.1.0.2", "b", 50});
 	first.setMembers(members);
 	EXPECT_EQ(first.relay(0), "10.0.0.2") << "a first member of another data centre that ranks before";
-	first.setHolder("10.1.0.3");
+	first.setDutyHolder("10.1.0.3");
 	EXPECT_EQ(first.relay(0), "10.1.0.3") << "the holder reads the store in any case";
 	first.onFailed("10.1.0.3", 0);
 	EXPECT_EQ(first.relay(0), "10.0.0.2");
 	first.onFailed("10.0.0.2", 0);
 	EXPECT_FALSE(first.relay(0)) << "nobody ranks before it any more";
-	EXPECT_EQ(first.heads("b", 2), (std::vector<std::string>{"10.1.0.2", "10.1.0.1"}));
+	EXPECT_EQ(first.topMembers("b", 2), (std::vector<std::string>{"10.1.0.2", "10.1.0.1"}));
 	first.onSilent("10.1.0.1");
-	EXPECT_EQ(first.heads("b", 2), (std::vector<std::string>{"10.1.0.2", "10.1.0.3"}));
+	EXPECT_EQ(first.topMembers("b", 2), (std::vector<std::string>{"10.1.0.2", "10.1.0.3"}));
 	first.onFailed("10.1.0.3", 0);
-	EXPECT_EQ(first.heads("b", 2).back(), "10.1.0.3") << "old content says nothing of a collector";
-	EXPECT_EQ(first.silentHeads("b"), (std::vector<std::string>{"10.1.0.1"}));
+	EXPECT_EQ(first.topMembers("b", 2).back(), "10.1.0.3") << "old content says nothing of a collector";
+	EXPECT_EQ(first.silentTopMembers("b"), (std::vector<std::string>{"10.1.0.1"}));
 	first.onHeard("10.1.0.1", 0);
 	first.onHeard("10.1.0.1", RelayChoice::kWarmUp);
-	EXPECT_EQ(first.heads("b", 2).back(), "10.1.0.1");
-	EXPECT_TRUE(first.silentHeads("b").empty());
+	EXPECT_EQ(first.topMembers("b", 2).back(), "10.1.0.1");
+	EXPECT_TRUE(first.silentTopMembers("b").empty());
 	EXPECT_EQ(first.position(), 1u);
 	EXPECT_EQ(small.position(), 2u);
 	RelayChoice unlisted({"10.2.0.1", "c"});
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -90,7 +90,7 @@
 TEST(QuotaStall, aGatewayThatStoodStillDoesNotTakeItsOwnSleepForTheSilenceOfCollectors)
 {
 	constexpr Micros kRound = limits::kCollectorRound;
-	const std::vector<std::string> heads{"a", "b"};
+	const std::vector<std::string> topMembers{"a", "b"};
 	CollectorWatch watch;
 	Micros now = kSecond;
 	Micros heard = now;
@@ -101,19 +101,19 @@
 	for (int round = 0; round < 8; ++round)
 	{
 		now += kRound;
-		EXPECT_TRUE(watch.takeSilent(now, heardAt, heads).empty());
+		EXPECT_TRUE(watch.takeSilent(now, heardAt, topMembers).empty());
 		watch.onAsked("a", now);
 		watch.onAsked("b", now);
 		heard = now + kMillisecond;
 	}
 	now += 2500 * kMillisecond;
-	EXPECT_TRUE(watch.takeSilent(now, heardAt, heads).empty()) << "it could hear nobody";
+	EXPECT_TRUE(watch.takeSilent(now, heardAt, topMembers).empty()) << "it could hear nobody";
 	watch.onAsked("a", now);
 	std::size_t silent = 0;
 	for (int round = 0; round < 4; ++round)
 	{
 		now += kRound;
-		silent += watch.takeSilent(now, heardAt, heads).size();
+		silent += watch.takeSilent(now, heardAt, topMembers).size();
 	}
 	EXPECT_EQ(silent, 2u) << "they do not answer now";
 }
