--- a/src/coordination/collectorwatch.cpp
+++ b/src/coordination/collectorwatch.cpp
@@ -16,12 +16,12 @@
 													const std::function<Micros(const std::string&)>& _heard,
 													const std::vector<std::string>& _spokenTo)
 {
-	m_stall.onTime(_now, kLongestRound);
+	m_stall.onTick(_now, kLongestRound);
 	std::vector<std::string> silent;
 	for (auto it = m_askedSince.begin(); it != m_askedSince.end();)
 	{
 		const auto& [host, asked] = *it;
-		const Micros since = std::max({asked, _heard(host), m_stall.woke()});
+		const Micros since = std::max({asked, _heard(host), m_stall.resumedAt()});
 		const bool isSilent = _now - since > kSilence;
 		if (isSilent)
 		{
--- a/src/coordination/fleetword.cpp
+++ b/src/coordination/fleetword.cpp
@@ -28,14 +28,14 @@
 	return std::max(kSilence, 2 * GossipPlan::hearingSpan(m_members));
 }
 
-void FleetWord::onTime(Micros _now)
+void FleetWord::onTick(Micros _now)
 {
-	m_stall.onTime(_now, kRoundsRunning * GossipPlan::roundSpan(m_members));
+	m_stall.onTick(_now, kRoundsRunning * GossipPlan::roundSpan(m_members));
 }
 
 Micros FleetWord::silentSince(const Word& _word) const
 {
-	return std::max(_word.proved, m_stall.woke());
+	return std::max(_word.proved, m_stall.resumedAt());
 }
 
 void FleetWord::onHeard(const std::string& _source, Micros _now, Micros _proved, std::size_t _gateways)
@@ -130,7 +130,7 @@
 	std::size_t proved = 1;
 	for (const auto& [source, word] : m_heard)
 	{
-		const bool isNew = word.proved >= m_stall.woke() && _now - word.proved <= silence();
+		const bool isNew = word.proved >= m_stall.resumedAt() && _now - word.proved <= silence();
 		proved += isNew ? word.gateways : 0;
 	}
 	const double least = kMost * static_cast<double>(std::min(m_mostHeard, m_members));
@@ -138,7 +138,7 @@
 	{
 		return FleetTrust::Whole;
 	}
-	const bool justWoke = m_stall.woke() != kLongAgo && _now - m_stall.woke() <= kAwaited;
+	const bool justWoke = m_stall.resumedAt() != kLongAgo && _now - m_stall.resumedAt() <= kAwaited;
 	return justWoke ? FleetTrust::Awaited : FleetTrust::Lost;
 }
 
--- a/src/coordination/fleetword.h
+++ b/src/coordination/fleetword.h
@@ -54,7 +54,7 @@
 	}
 
 	/// Time passes; to be called before anything else of the same moment, and several times a second.
-	void onTime(Micros _now);
+	void onTick(Micros _now);
 
 	/// A source was heard.
 	/// @param[in] _proved When this gateway sent what the source has answered.
@@ -100,7 +100,7 @@
 	/// @returns whether this process stood still and went on within a span.
 	bool wokeWithin(Micros _span, Micros _now) const
 	{
-		return m_stall.woke() != kLongAgo && _now - m_stall.woke() <= _span;
+		return m_stall.resumedAt() != kLongAgo && _now - m_stall.resumedAt() <= _span;
 	}
 
 	/// @returns for how long nothing was heard; kNever before the first word.
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -64,7 +64,7 @@
 
 void QuotaLedger::configure(const RoutingConfig& _config, Micros _now)
 {
-	onTime(_now);
+	onTick(_now);
 	m_started = std::min(m_started, _now);
 	for (const TeamAccess& access : _config.teams)
 	{
@@ -144,9 +144,9 @@
 	m_word.setMembers(_members);
 }
 
-void QuotaLedger::onTime(Micros _now)
+void QuotaLedger::onTick(Micros _now)
 {
-	m_word.onTime(_now);
+	m_word.onTick(_now);
 }
 
 double QuotaLedger::hearingSpan() const
@@ -268,7 +268,7 @@
 
 void QuotaLedger::advance(Micros _now)
 {
-	onTime(_now);
+	onTick(_now);
 	for (auto& [name, team] : m_teams)
 	{
 		recordSilentShare(team, _now);
@@ -324,7 +324,7 @@
 		team.takenHere += _amount;
 		return {};
 	}
-	onTime(_now);
+	onTick(_now);
 	if (m_word.trust(_now) == FleetTrust::Awaited)
 	{
 		// What the others took meanwhile is told within moments. Decided before, a third of 77 gateways that stood
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -310,7 +310,7 @@
 	/// @returns whether this gateway does not know yet what the others took before it started.
 	bool settling(Micros _now) const;
 	/// Time passes.
-	void onTime(Micros _now);
+	void onTick(Micros _now);
 	/// Counts the share of the rate that is left to silent gateways as taken.
 	void recordSilentShare(Team& _team, Micros _now) const;
 	/// Counts what a part of the gateways took in a span that no word will tell of, since another collector tells
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -48,7 +48,7 @@
 	{
 		return QuotaRule::Local;
 	}
-	onTime(_now);
+	onTick(_now);
 	Team& team = it->second;
 	const double mean = team.rate.meanAmount() > 0.0 ? team.rate.meanAmount() : _amount;
 	if (m_word.members() <= 1 || !isGranted(team, mean))
@@ -72,7 +72,7 @@
 	{
 		return {};
 	}
-	onTime(_now);
+	onTick(_now);
 	Team& team = it->second;
 	recordSilentShare(team, _now);
 	Standing standing = standingOf(team, _now);
@@ -100,7 +100,7 @@
 QuotaGrant QuotaLedger::grant(const std::string& _team, double _amount, Micros _now)
 {
 	const auto it = m_teams.find(_team);
-	onTime(_now);
+	onTick(_now);
 	// A limit that is not known here may be in force there.
 	const bool knowsLimit = it != m_teams.end() && it->second.bucket.limited();
 	if (!knowsLimit || settling(_now) || m_word.trust(_now) != FleetTrust::Whole)
--- a/src/coordination/quotaledgerreports.cpp
+++ b/src/coordination/quotaledgerreports.cpp
@@ -31,7 +31,7 @@
 	{
 		return;
 	}
-	onTime(_now);
+	onTick(_now);
 	const bool firstHeard = !m_word.knows(_peer);
 	const bool toldAlready = m_adopted && _uptime > _now - m_started;
 	if (firstHeard && (toldAlready || _uptime > TokenBucket::kHistory))
@@ -100,7 +100,7 @@
 
 void QuotaLedger::onHeard(const std::string& _peer, Micros _now, Micros _proved, std::size_t _gateways)
 {
-	onTime(_now);
+	onTick(_now);
 	noteGap(_now);
 	m_word.onHeard(_peer, _now, _proved, _gateways);
 }
@@ -108,7 +108,7 @@
 void QuotaLedger::onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _proved,
 						 std::size_t _gateways)
 {
-	onTime(_now);
+	onTick(_now);
 	noteGap(_now);
 	const std::optional<Micros> unreported = m_word.onSums(_group, _source, _now, _proved, _gateways);
 	if (unreported)
--- a/src/coordination/stalldetector.h
+++ b/src/coordination/stalldetector.h
@@ -20,7 +20,7 @@
 	/// Time passes; to be called more often than once in _longest while the process runs.
 	/// @param[in] _longest The longest span without a call while the process runs.
 	/// @returns whether it stood still until now.
-	bool onTime(Micros _now, Micros _longest)
+	bool onTick(Micros _now, Micros _longest)
 	{
 		const bool stalled = m_last != kLongAgo && _now - m_last > _longest;
 		m_last = _now;
@@ -29,7 +29,7 @@
 	}
 
 	/// @returns when the process went on after it last stood still; kLongAgo where it never did.
-	Micros woke() const
+	Micros resumedAt() const
 	{
 		return m_woke;
 	}
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -124,23 +124,23 @@
 	FleetWord word;
 	word.setMembers(3);
 	const Micros start = kSecond;
-	word.onTime(start);
+	word.onTick(start);
 	EXPECT_EQ(word.trust(start), FleetTrust::Lost) << "nobody was ever heard";
 	word.onHeard("a", start, start, 1);
 	word.onHeard("b", start, start, 1);
 	EXPECT_EQ(word.trust(start), FleetTrust::Whole);
-	const Micros woke = start + 2 * kSecond;
-	word.onTime(woke);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Awaited);
-	word.onHeard("a", woke, woke - kSecond, 1);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Awaited) << "it answers what was sent before the stall";
-	EXPECT_EQ(word.silentShare(woke), 0.0) << "that they were not heard says nothing of them";
-	word.onHeard("a", woke, woke, 1);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Whole);
-	const Micros late = woke + FleetWord::kAwaited + FleetWord::kSilence + 1;
-	for (Micros now = woke; now < late; now += 100 * kMillisecond)
+	const Micros resumedAt = start + 2 * kSecond;
+	word.onTick(resumedAt);
+	EXPECT_EQ(word.trust(resumedAt), FleetTrust::Awaited);
+	word.onHeard("a", resumedAt, resumedAt - kSecond, 1);
+	EXPECT_EQ(word.trust(resumedAt), FleetTrust::Awaited) << "it answers what was sent before the stall";
+	EXPECT_EQ(word.silentShare(resumedAt), 0.0) << "that they were not heard says nothing of them";
+	word.onHeard("a", resumedAt, resumedAt, 1);
+	EXPECT_EQ(word.trust(resumedAt), FleetTrust::Whole);
+	const Micros late = resumedAt + FleetWord::kAwaited + FleetWord::kSilence + 1;
+	for (Micros now = resumedAt; now < late; now += 100 * kMillisecond)
 	{
-		word.onTime(now);
+		word.onTick(now);
 	}
 	EXPECT_EQ(word.trust(late), FleetTrust::Lost);
 	EXPECT_GT(word.silentShare(late), 0.6);
