--- a/src/coordination/demandmeter.h
+++ b/src/coordination/demandmeter.h
@@ -33,7 +33,7 @@
 
 	/// A request for an engine arrived. What is asked for counts, be it served or not: where engines are missing,
 	/// what was sent to them falls short of the load, and what they hold is held for longer.
-	/// @param[in] readingSeconds For which its prompt keeps an engine busy.
+	/// @param[in] prefillSeconds For which its prompt keeps an engine busy.
 	/// @param[in] holdSeconds For which it then holds a slot at an engine that is not crowded.
 	/// @param[in] slots Of an engine.
 	void onArrival(const std::string& _service, double _readingSeconds, double _holdSeconds, unsigned _slots);
--- a/src/coordination/enginemodel.cpp
+++ b/src/coordination/enginemodel.cpp
@@ -25,7 +25,7 @@
 double EngineModel::weightedTokens(std::uint64_t _tokens)
 {
 	const auto tokens = static_cast<double>(_tokens);
-	return tokens * (1.0 + tokens / kPairTokens);
+	return tokens * (1.0 + tokens / kQuadraticCostTokens);
 }
 
 void EngineModel::onFirstEvent(const std::string& _service, std::uint64_t _tokens, Micros _waited)
@@ -92,19 +92,19 @@
 	return it == m_services.end() ? kPriorTokensPerSecond : it->second.tokensPerSecond;
 }
 
-double EngineModel::readingSeconds(const std::string& _service, std::uint64_t _tokens) const
+double EngineModel::prefillSeconds(const std::string& _service, std::uint64_t _tokens) const
 {
 	return weightedTokens(_tokens) / tokensPerSecond(_service);
 }
 
-std::map<std::string, double> EngineModel::speeds() const
+std::map<std::string, double> EngineModel::prefillSpeeds() const
 {
-	std::map<std::string, double> speeds;
+	std::map<std::string, double> prefillSpeeds;
 	for (const auto& [name, service] : m_services)
 	{
-		speeds.emplace(name, service.tokensPerSecond);
+		prefillSpeeds.emplace(name, service.tokensPerSecond);
 	}
-	return speeds;
+	return prefillSpeeds;
 }
 
 } // namespace beacongate
--- a/src/coordination/enginemodel.h
+++ b/src/coordination/enginemodel.h
@@ -29,7 +29,7 @@
 	static constexpr double kPriorTokensPerSecond = 60'000.0;
 	/// A prompt of this many tokens takes twice as long as its tokens alone, since tokens are read against all
 	/// before them. Between 48,000 and 58,000 on the engines whose figures are known.
-	static constexpr double kPairTokens = 55'000.0;
+	static constexpr double kQuadraticCostTokens = 55'000.0;
 	/// Requests that an estimate needs at least: a few seconds of a gateway's traffic.
 	static constexpr std::size_t kSamplesNeeded = 32;
 	/// Requests that an estimate is made from at most, the latest.
@@ -44,10 +44,10 @@
 	double tokensPerSecond(const std::string& _service) const;
 
 	/// @returns for how long a prompt keeps an engine of a service busy.
-	double readingSeconds(const std::string& _service, std::uint64_t _tokens) const;
+	double prefillSeconds(const std::string& _service, std::uint64_t _tokens) const;
 
 	/// @returns the estimates by service.
-	std::map<std::string, double> speeds() const;
+	std::map<std::string, double> prefillSpeeds() const;
 
 private:
 	struct Sample
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -249,7 +249,7 @@
 	{
 		return;
 	}
-	m_context.demand.onArrival(m_service, m_context.engines.readingSeconds(m_service, m_placement.promptTokens),
+	m_context.demand.onArrival(m_service, m_context.engines.prefillSeconds(m_service, m_placement.promptTokens),
 							   m_context.streamLengths.holdSeconds(m_service, m_route->name),
 							   service->engine->slots);
 }
--- a/tests/enginemodeltest.cpp
+++ b/tests/enginemodeltest.cpp
@@ -45,7 +45,7 @@
 			const std::size_t engine = _random() % m_free.size();
 			const bool cached = part(_random) < _falseShare;
 			const double reading =
-				cached ? 0.001 : tokens * (1.0 + tokens / EngineModel::kPairTokens) / m_speeds[engine];
+				cached ? 0.001 : tokens * (1.0 + tokens / EngineModel::kQuadraticCostTokens) / m_speeds[engine];
 			const double began = std::max(m_now, m_free[engine]);
 			m_free[engine] = began + reading;
 			const double waited = m_free[engine] - m_now + kStartSeconds;
@@ -127,15 +127,15 @@
 		model.onFirstEvent("service", 1000, 0);
 		model.onFirstEvent("service", 1000, -kSecond);
 	}
-	EXPECT_TRUE(model.speeds().empty());
+	EXPECT_TRUE(model.prefillSpeeds().empty());
 }
 
 TEST(EngineModel, aLongPromptTakesMoreThanItsTokens)
 {
 	const EngineModel model;
-	const auto pair = static_cast<std::uint64_t>(EngineModel::kPairTokens);
-	EXPECT_NEAR(model.readingSeconds("service", pair),
-				2.0 * EngineModel::kPairTokens / EngineModel::kPriorTokensPerSecond, 1e-6);
+	const auto pair = static_cast<std::uint64_t>(EngineModel::kQuadraticCostTokens);
+	EXPECT_NEAR(model.prefillSeconds("service", pair),
+				2.0 * EngineModel::kQuadraticCostTokens / EngineModel::kPriorTokensPerSecond, 1e-6);
 }
 
 } // namespace beacongate::test
