--- a/src/coordination/capacityplanner.cpp
+++ b/src/coordination/capacityplanner.cpp
@@ -46,13 +46,13 @@
 	return _reading + _occupied / kSlotUse;
 }
 
-unsigned CapacityPlanner::serversFor(double _work)
+unsigned CapacityPlanner::serversDesired(double _work)
 {
 	const double forVariation = kSpareFactor * std::sqrt(std::max(0.0, _work)) + kSpareServers;
 	return static_cast<unsigned>(std::ceil(_work + std::max(forVariation, kSpareShare * _work)));
 }
 
-unsigned CapacityPlanner::firstGuess(const ScalingSettings& _scaling)
+unsigned CapacityPlanner::initialServers(const ScalingSettings& _scaling)
 {
 	const auto perZone = static_cast<unsigned>(std::lround(_scaling.maximum * kFirstShare));
 	const auto zones = static_cast<unsigned>(_scaling.zonePrices.size());
@@ -62,7 +62,7 @@
 CapacityPlanner::Need CapacityPlanner::needFor(const ScalingSettings& _scaling, const Observation& _seen)
 {
 	Need need;
-	need.wished = serversFor(_seen.work);
+	need.desired = serversDesired(_seen.work);
 	need.required = serversRequired(_seen.work);
 	need.idle = _seen.firstStart && _seen.work <= 0.0;
 	need.known = need.idle || _seen.listed;
@@ -70,8 +70,8 @@
 	{
 		return need;
 	}
-	const unsigned guess = _seen.firstStart ? firstGuess(_scaling) : _seen.standing;
-	need.wished = std::max(need.wished, guess);
+	const unsigned guess = _seen.firstStart ? initialServers(_scaling) : _seen.running;
+	need.desired = std::max(need.desired, guess);
 	// At the very first start, on-demand capacity is not waited for.
 	need.required = std::max(need.required, _seen.firstStart ? guess / 2 : guess);
 	return need;
@@ -157,12 +157,12 @@
 												 const Need& _need, Micros _now)
 {
 	std::vector<CapacityOrder> orders;
-	const unsigned standing = planSpot(_scaling, _zones, _need, _now, orders);
+	const unsigned running = planSpot(_scaling, _zones, _need, _now, orders);
 	const bool unanswered = std::any_of(m_zones.begin(), m_zones.end(),
 										[](const auto& _entry) { return _entry.second.spot.at == kLongAgo; });
 	if (_need.known && !(_need.idle && unanswered))
 	{
-		const unsigned secure = standing - std::min(standing, spotAtRisk(_zones));
+		const unsigned secure = running - std::min(running, spotAtRisk(_zones));
 		const unsigned missing = _need.required - std::min(_need.required, secure);
 		planOnDemand(_scaling, _zones, missing, _now, orders);
 	}
@@ -173,16 +173,16 @@
 								   const std::map<std::string, ZoneCapacity>& _zones, const Need& _need,
 								   Micros _now, std::vector<CapacityOrder>& _orders)
 {
-	unsigned standing = 0;
-	unsigned surplus = spotSurplus(_zones, _need.wished);
+	unsigned running = 0;
+	unsigned surplus = spotSurplus(_zones, _need.desired);
 	const unsigned evenShare =
-		std::min(_need.wished / std::max(1u, static_cast<unsigned>(_zones.size())), _scaling.maximum);
-	for (const auto& [name, wanted] : spreadSpot(_scaling, _zones, _need.wished))
+		std::min(_need.desired / std::max(1u, static_cast<unsigned>(_zones.size())), _scaling.maximum);
+	for (const auto& [name, wanted] : spreadSpot(_scaling, _zones, _need.desired))
 	{
 		const ZoneCapacity& capacity = _zones.at(name);
 		ZonePlan& zone = m_zones[name];
 		const bool expected = _need.idle && onItsWay(zone.spot, _scaling.bootTime, _now);
-		standing += expected ? std::max(capacity.spot, zone.spot.count) : capacity.spot;
+		running += expected ? std::max(capacity.spot, zone.spot.count) : capacity.spot;
 		if (capacity.reclaiming)
 		{
 			zone.spotBlockedUntil = std::max(zone.spotBlockedUntil, _now + kSpotRetry);
@@ -199,17 +199,17 @@
 			_orders.push_back({name, true, count});
 		}
 	}
-	return standing;
+	return running;
 }
 
 unsigned CapacityPlanner::spotSurplus(const std::map<std::string, ZoneCapacity>& _zones, unsigned _wished) const
 {
-	unsigned standing = 0;
+	unsigned running = 0;
 	for (const auto& [name, capacity] : _zones)
 	{
-		standing += capacity.spot;
+		running += capacity.spot;
 	}
-	return anyDry() ? 0 : standing - std::min(standing, _wished);
+	return anyDry() ? 0 : running - std::min(running, _wished);
 }
 
 bool CapacityPlanner::anyDry() const
--- a/src/coordination/capacityplanner.h
+++ b/src/coordination/capacityplanner.h
@@ -36,7 +36,7 @@
 
 /// Whether all on-demand capacity that stood when this gateway began to look is listed. What grows later grows by
 /// its own orders and is no reason to wait.
-class StartListing
+class InitialListing
 {
 public:
 	/// Without another backend server for this long, all are taken to be listed.
@@ -69,7 +69,7 @@
 	}
 
 	/// @returns the most backend servers of both kinds that were listed at once when this gateway began to look.
-	unsigned standing() const
+	unsigned running() const
 	{
 		return m_standing;
 	}
@@ -107,18 +107,18 @@
 
 	/// @param[in] work Backend servers that the present load would keep busy all the time.
 	/// @returns backend servers to have at the price of spot, so that a burst or a lost data centre is borne.
-	static unsigned serversFor(double _work);
+	static unsigned serversDesired(double _work);
 
 	/// @returns backend servers to have at any price.
 	static unsigned serversRequired(double _work);
 
 	/// @returns backend servers to begin with, before there is any load to go by.
-	static unsigned firstGuess(const ScalingSettings& _scaling);
+	static unsigned initialServers(const ScalingSettings& _scaling);
 
 	/// What a load calls for.
 	struct Need
 	{
-		unsigned wished = 0;   ///< At the price of spot.
+		unsigned desired = 0;  ///< At the price of spot.
 		unsigned required = 0; ///< At any price.
 		bool known = false;    ///< What stands is all listed, so that on-demand capacity may be changed.
 		bool idle = false;     ///< There is no load yet: spot that was ordered counts as if it stood.
@@ -131,7 +131,7 @@
 		bool settled = false;    ///< The load was seen for long enough to be believed.
 		bool firstStart = false; ///< The whole system starts, so that there is no load yet.
 		bool listed = false;     ///< All on-demand capacity there is was listed.
-		unsigned standing = 0;   ///< Backend servers of both kinds that stood when it began to plan.
+		unsigned running = 0;    ///< Backend servers of both kinds that stood when it began to plan.
 	};
 
 	/// @returns what to order for. While a gateway that started in the middle of a day does not know the load, it
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -373,7 +373,7 @@
 	{
 		zones[zone];
 	}
-	unsigned standing = 0;
+	unsigned running = 0;
 	unsigned onDemand = 0;
 	for (const auto& [id, known] : m_context.directory.backends())
 	{
@@ -390,14 +390,14 @@
 			continue;
 		}
 		++(known.record.spot ? zone.spot : zone.onDemand);
-		++standing;
+		++running;
 		onDemand += known.record.spot ? 0 : 1;
 	}
-	if (standing == 0 && !m_context.settings.firstStart)
+	if (running == 0 && !m_context.settings.firstStart)
 	{
 		return;
 	}
-	const CapacityPlanner::Need need = needOf(_service, standing, onDemand, _now);
+	const CapacityPlanner::Need need = needOf(_service, running, onDemand, _now);
 	for (const CapacityOrder& order : m_planners[_service.name].plan(*_service.scaling, zones, need, _now))
 	{
 		logEvent(LogLevel::Info, "capacity-order",
@@ -407,9 +407,9 @@
 				  {"count", std::to_string(order.count)},
 				  {"work", std::to_string(m_context.demand.work(_service.name))},
 				  {"occupied", std::to_string(m_context.demand.occupied(_service.name))},
-				  {"wished", std::to_string(need.wished)},
+				  {"wished", std::to_string(need.desired)},
 				  {"required", std::to_string(need.required)},
-				  {"standing", std::to_string(standing)},
+				  {"standing", std::to_string(running)},
 				  {"fence", std::to_string(m_lease.fence())}});
 		sendOrder(_service.name, order);
 	}
@@ -428,7 +428,7 @@
 	seen.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	seen.firstStart = m_context.settings.firstStart;
 	seen.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
-	seen.standing = m_startListings[_service.name].standing();
+	seen.running = m_startListings[_service.name].running();
 	return CapacityPlanner::needFor(*_service.scaling, seen);
 }
 
--- a/src/gateway/dutyholder.h
+++ b/src/gateway/dutyholder.h
@@ -81,7 +81,7 @@
 	Micros m_countsKept = kLongAgo;
 	bool m_keepingCounts = false;
 	std::map<std::string, CapacityPlanner> m_planners;
-	std::map<std::string, StartListing> m_startListings;
+	std::map<std::string, InitialListing> m_startListings;
 	std::size_t m_openOrders = 0;
 };
 
--- a/tests/capacitytest.cpp
+++ b/tests/capacitytest.cpp
@@ -22,7 +22,7 @@
 /// Backend servers of one kind in one data centre.
 struct Pool
 {
-	unsigned standing = 0;
+	unsigned running = 0;
 	std::deque<Micros> booting; ///< When each will stand.
 };
 
@@ -47,14 +47,14 @@
 			while (!pool.booting.empty() && pool.booting.front() <= now)
 			{
 				pool.booting.pop_front();
-				++pool.standing;
+				++pool.running;
 			}
 		}
 		std::map<std::string, ZoneCapacity> zones;
 		for (const auto& [zone, price] : scaling.zonePrices)
 		{
-			zones[zone].onDemand = pools[{zone, false}].standing;
-			zones[zone].spot = pools[{zone, true}].standing;
+			zones[zone].onDemand = pools[{zone, false}].running;
+			zones[zone].spot = pools[{zone, true}].running;
 			zones[zone].reclaiming = reclaiming.count(zone) > 0 && now < reclaiming[zone];
 		}
 		for (const CapacityOrder& order : planner.plan(scaling, zones, _need, now))
@@ -97,7 +97,7 @@
 		unsigned sum = 0;
 		for (const auto& [key, pool] : pools)
 		{
-			sum += key.second == _spot ? pool.standing : 0;
+			sum += key.second == _spot ? pool.running : 0;
 		}
 		return sum;
 	}
@@ -115,12 +115,12 @@
 	void fill(const CapacityOrder& _order)
 	{
 		Pool& pool = pools[{_order.dataCentre, _order.spot}];
-		while (pool.standing + pool.booting.size() > _order.count && !pool.booting.empty())
+		while (pool.running + pool.booting.size() > _order.count && !pool.booting.empty())
 		{
 			pool.booting.pop_back();
 		}
-		pool.standing = std::min(pool.standing, _order.count);
-		while (pool.standing + pool.booting.size() < _order.count)
+		pool.running = std::min(pool.running, _order.count);
+		while (pool.running + pool.booting.size() < _order.count)
 		{
 			pool.booting.push_back(now + scaling.bootTime);
 		}
@@ -131,10 +131,10 @@
 TEST(CapacityPlanner, spotReplacesOnDemandWithoutAGap)
 {
 	ModelPlatform platform;
-	platform.pools[{"a", false}].standing = 3;
-	platform.pools[{"b", false}].standing = 2;
-	platform.pools[{"c", false}].standing = 2;
-	platform.pools[{"d", false}].standing = 2;
+	platform.pools[{"a", false}].running = 3;
+	platform.pools[{"b", false}].running = 2;
+	platform.pools[{"c", false}].running = 2;
+	platform.pools[{"d", false}].running = 2;
 	for (int tick = 0; tick < 100; ++tick)
 	{
 		platform.step({6, 4, true});
@@ -150,7 +150,7 @@
 TEST(CapacityPlanner, nothingOnDemandIsTouchedBeforeAllOfItIsListed)
 {
 	ModelPlatform platform;
-	platform.pools[{"a", false}].standing = 1;
+	platform.pools[{"a", false}].running = 1;
 	platform.run({4, 4, false}, 3 * kSecond);
 	EXPECT_EQ(platform.count(false), 1u);
 	platform.run({4, 4, false}, 10 * kSecond);
@@ -166,31 +166,31 @@
 	scaling.zonePrices = {{"a", 1.0}, {"b", 0.8}, {"c", 1.25}, {"d", 0.9}};
 	CapacityPlanner::Observation seen;
 	seen.work = 0.4;
-	seen.standing = 30;
+	seen.running = 30;
 	seen.listed = true;
 	const CapacityPlanner::Need unknown = CapacityPlanner::needFor(scaling, seen);
-	EXPECT_GE(unknown.wished, 30U) << "spot was cut to a tenth while its load had only begun to be counted";
+	EXPECT_GE(unknown.desired, 30U) << "spot was cut to a tenth while its load had only begun to be counted";
 	EXPECT_GE(unknown.required, 30U);
 	seen.settled = true;
 	const CapacityPlanner::Need known = CapacityPlanner::needFor(scaling, seen);
-	EXPECT_LT(known.wished, 10U);
+	EXPECT_LT(known.desired, 10U);
 	EXPECT_LT(known.required, 5U);
 	seen.settled = false;
 	seen.firstStart = true;
 	seen.work = 0.0;
-	seen.standing = 4;
+	seen.running = 4;
 	const CapacityPlanner::Need first = CapacityPlanner::needFor(scaling, seen);
-	EXPECT_EQ(first.wished, CapacityPlanner::firstGuess(scaling));
+	EXPECT_EQ(first.desired, CapacityPlanner::initialServers(scaling));
 	EXPECT_TRUE(first.idle);
 }
 
-TEST(StartListing, whatIsOrderedLaterIsNoReasonToWait)
+TEST(InitialListing, whatIsOrderedLaterIsNoReasonToWait)
 {
-	StartListing listing;
+	InitialListing listing;
 	Micros now = kSecond;
 	EXPECT_FALSE(listing.complete(0, now)) << "records come one after the other";
 	EXPECT_FALSE(listing.complete(2, now += kSecond));
-	EXPECT_FALSE(listing.complete(2, now += StartListing::kSettled));
+	EXPECT_FALSE(listing.complete(2, now += InitialListing::kSettled));
 	EXPECT_TRUE(listing.complete(2, now += kSecond));
 	EXPECT_TRUE(listing.complete(9, now += kSecond)) << "ordered in the middle of a wave of reclaims";
 	EXPECT_EQ(listing.onDemand(), 9u);
@@ -199,13 +199,13 @@
 TEST(CapacityPlanner, whereThereIsNoLoadYetSpotIsWaitedForAndNothingOrderedOnDemand)
 {
 	ModelPlatform platform;
-	platform.pools[{"a", false}].standing = 4;
+	platform.pools[{"a", false}].running = 4;
 	for (int tick = 0; tick < 40; ++tick)
 	{
 		platform.step({8, 5, true, true});
 		EXPECT_LE(platform.count(false), 4u);
 		const Pool& cheapest = platform.pools[{"b", false}];
-		EXPECT_EQ(cheapest.standing + cheapest.booting.size(), 0u);
+		EXPECT_EQ(cheapest.running + cheapest.booting.size(), 0u);
 	}
 	EXPECT_EQ(platform.count(true), 8u);
 	EXPECT_EQ(platform.count(false), 0u);
@@ -253,7 +253,7 @@
 	EXPECT_EQ(platform.count(true), 12u);
 	const auto placed = [&](const char* _zone)
 	{
-		return platform.pools[{_zone, true}].standing;
+		return platform.pools[{_zone, true}].running;
 	};
 	EXPECT_EQ(placed("a"), 3u);
 }
@@ -316,7 +316,7 @@
 		platform.step({need % 40u, need % 30u, true});
 		for (const auto& [zone, price] : platform.scaling.zonePrices)
 		{
-			const unsigned spot = platform.pools[{zone, true}].standing;
+			const unsigned spot = platform.pools[{zone, true}].running;
 			RC_ASSERT(spot <= platform.scaling.maximum);
 		}
 	}
@@ -326,8 +326,8 @@
 {
 	for (double work = 0.0; work < 50.0; work += 0.1)
 	{
-		EXPECT_LE(CapacityPlanner::serversFor(work), CapacityPlanner::serversFor(work + 0.1));
-		EXPECT_LE(CapacityPlanner::serversRequired(work), CapacityPlanner::serversFor(work));
+		EXPECT_LE(CapacityPlanner::serversDesired(work), CapacityPlanner::serversDesired(work + 0.1));
+		EXPECT_LE(CapacityPlanner::serversRequired(work), CapacityPlanner::serversDesired(work));
 		EXPECT_GE(CapacityPlanner::serversRequired(work), work);
 	}
 }
@@ -337,17 +337,17 @@
 	// Requests that hold their slots for long, beside prompts that are read and slow them down.
 	const double reading = *rc::gen::inRange(0, 300) / 10.0;
 	const double holding = *rc::gen::inRange(0, 300) / 10.0;
-	double standing = *rc::gen::inRange(1, 40);
+	double running = *rc::gen::inRange(1, 40);
 	double held = 0.0;
 	for (int round = 0; round < 12; ++round)
 	{
-		const double pace = std::max(0.05, 1.0 - reading / standing);
-		held = std::min(standing, holding / pace);
-		standing = CapacityPlanner::serversFor(CapacityPlanner::combinedWork(reading, holding));
+		const double pace = std::max(0.05, 1.0 - reading / running);
+		held = std::min(running, holding / pace);
+		running = CapacityPlanner::serversDesired(CapacityPlanner::combinedWork(reading, holding));
 	}
-	RC_ASSERT(held / standing < 0.8);
+	RC_ASSERT(held / running < 0.8);
 	const double busy = reading + holding / 0.65;
-	RC_ASSERT(standing < 2.0 + busy + std::max(busy, 2.0 * std::sqrt(busy) + 3.0));
+	RC_ASSERT(running < 2.0 + busy + std::max(busy, 2.0 * std::sqrt(busy) + 3.0));
 }
 
 TEST(DemandMeter, countsSlotsHeldHereAndAtPeersOnce)
