--- a/src/coordination/balancer.cpp
+++ b/src/coordination/balancer.cpp
@@ -246,7 +246,7 @@
 {
 	for (auto it = m_peers.begin(); it != m_peers.end();)
 	{
-		const bool silent = _now - it->second.heard > m_peerLoadLife;
+		const bool silent = _now - it->second.heard > m_peerLoadLifetime;
 		if (silent)
 		{
 			removeFromTotals(it->second.loads);
--- a/src/coordination/balancer.h
+++ b/src/coordination/balancer.h
@@ -103,9 +103,9 @@
 	void setPeerLoads(const std::string& _peer, std::vector<BackendLoad> _loads, Micros _now);
 
 	/// What a peer said of its load is counted for this long after it was heard.
-	void setPeerLoadLife(Micros _life)
+	void setPeerLoadLifetime(Micros _life)
 	{
-		m_peerLoadLife = _life;
+		m_peerLoadLifetime = _life;
 	}
 
 	/// Sets whether so many gateways place that hundreds of requests are placed by the same word of loads.
@@ -154,7 +154,7 @@
 
 	std::string m_dataCentre;
 	std::minstd_rand m_random;
-	Micros m_peerLoadLife = kSecond;
+	Micros m_peerLoadLifetime = kSecond;
 	bool m_manyGateways = false;
 	Loads m_own;
 	std::unordered_map<BackendKey, Health, BackendKeyHash> m_health;
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -142,7 +142,7 @@
 	m_context.admission.setGrantors(m_context.relays.allTopMembers());
 	logGrantorNotices();
 	m_context.retryBudget.setMembers(members);
-	m_context.balancer.setPeerLoadLife(std::max(kSecond, kLoadPatience * GossipPlan::hearingSpan(members)));
+	m_context.balancer.setPeerLoadLifetime(std::max(kSecond, kLoadPatience * GossipPlan::hearingSpan(members)));
 	m_context.balancer.setManyGateways(m_context.usesCollectors());
 	m_context.balancer.expirePeerLoads(now);
 	if (m_context.usesCollectors())
--- a/tests/balancertest.cpp
+++ b/tests/balancertest.cpp
@@ -129,7 +129,7 @@
 		for (unsigned number = 0; number < gateways; ++number)
 		{
 			balancers.emplace_back("a", number + 1);
-			balancers.back().setPeerLoadLife(3 * kTold);
+			balancers.back().setPeerLoadLifetime(3 * kTold);
 			balancers.back().setManyGateways(true);
 		}
 		std::vector<unsigned> running(engines);
