--- a/src/coordination/stoppolicy.h
+++ b/src/coordination/stoppolicy.h
@@ -18,7 +18,7 @@
 {
 public:
 	/// New requests are run until then: the balancer asks once a second and takes a gateway out after two misses.
-	static constexpr Micros kTakeSpan = 2800 * kMillisecond;
+	static constexpr Micros kAcceptSpan = 2800 * kMillisecond;
 	/// Left before the process would be killed.
 	static constexpr Micros kKillMargin = 250 * kMillisecond;
 
@@ -28,9 +28,9 @@
 
 	/// @returns whether a request that arrives now is run; later ones are refused, since they might not end in
 	/// time.
-	bool takesRequests(Micros _elapsed) const
+	bool acceptsRequests(Micros _elapsed) const
 	{
-		return _elapsed < std::min(kTakeSpan, m_grace * 3 / 8);
+		return _elapsed < std::min(kAcceptSpan, m_grace * 3 / 8);
 	}
 
 	/// @returns whether connections without a request are closed and new ones are turned away.
@@ -40,7 +40,7 @@
 	}
 
 	/// @returns whether what still runs has to be cut off.
-	bool mustEnd(Micros _elapsed) const
+	bool mustAbort(Micros _elapsed) const
 	{
 		return _elapsed >= m_grace - std::min(kKillMargin, m_grace / 8);
 	}
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -136,7 +136,7 @@
 void Gateway::onCallerRequest(const ServerSessionPtr& _session, IncomingRequest&& _request)
 {
 	const Micros elapsed = m_context.stopping ? monotonicNow() - m_context.stopRequested : 0;
-	if (m_context.stopping && !StopPolicy(m_context.settings.grace).takesRequests(elapsed))
+	if (m_context.stopping && !StopPolicy(m_context.settings.grace).acceptsRequests(elapsed))
 	{
 		_session->answer(makeOwnAnswer(503, Failure::Stopping, "this gateway is stopping", kStopRetryAfter), true);
 		return;
@@ -299,7 +299,7 @@
 	const Micros elapsed = monotonicNow() - m_context.stopRequested;
 	const StopPolicy policy(m_context.settings.grace);
 	const bool noticed = policy.closesIdle(elapsed);
-	const bool mustEnd = policy.mustEnd(elapsed);
+	const bool mustAbort = policy.mustAbort(elapsed);
 	if (noticed)
 	{
 		m_callerListener->close();
@@ -309,7 +309,7 @@
 			session->closeIfIdle();
 		}
 	}
-	if (mustEnd || (noticed && m_callers->sessions.empty()))
+	if (mustAbort || (noticed && m_callers->sessions.empty()))
 	{
 		shutdown();
 		return;
--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -204,12 +204,12 @@
 TEST(StopPolicy, aRequestThatMightNotEndInTimeIsNotTaken)
 {
 	const StopPolicy policy(8 * kSecond);
-	EXPECT_TRUE(policy.takesRequests(2 * kSecond));
-	EXPECT_FALSE(policy.takesRequests(3 * kSecond));
+	EXPECT_TRUE(policy.acceptsRequests(2 * kSecond));
+	EXPECT_FALSE(policy.acceptsRequests(3 * kSecond));
 	EXPECT_FALSE(policy.closesIdle(3 * kSecond));
 	EXPECT_TRUE(policy.closesIdle(4 * kSecond));
-	EXPECT_FALSE(policy.mustEnd(7 * kSecond));
-	EXPECT_TRUE(policy.mustEnd(8 * kSecond - 100 * kMillisecond));
+	EXPECT_FALSE(policy.mustAbort(7 * kSecond));
+	EXPECT_TRUE(policy.mustAbort(8 * kSecond - 100 * kMillisecond));
 }
 
 } // namespace beacongate::test
