--- a/src/coordination/streamlengths.cpp
+++ b/src/coordination/streamlengths.cpp
@@ -22,11 +22,11 @@
 	{
 		route->second += kMeanWeight * (_events - route->second);
 	}
-	else if (m_events.size() < kMostRoutes)
+	else if (m_events.size() < kMaxRoutes)
 	{
 		m_events[_route] = _events;
 	}
-	if (_events < kEventsNeeded || _span <= 0)
+	if (_events < kMinEvents || _span <= 0)
 	{
 		return;
 	}
--- a/src/coordination/streamlengths.h
+++ b/src/coordination/streamlengths.h
@@ -24,9 +24,9 @@
 {
 public:
 	/// Routes that are remembered; streams of others count as unknown.
-	static constexpr std::size_t kMostRoutes = 512;
+	static constexpr std::size_t kMaxRoutes = 512;
 	/// Events from which on a stream tells a pace.
-	static constexpr unsigned kEventsNeeded = 3;
+	static constexpr unsigned kMinEvents = 3;
 
 	/// A whole stream came from one engine.
 	/// @param[in] _events That it had.
--- a/tests/streamlengthstest.cpp
+++ b/tests/streamlengthstest.cpp
@@ -49,11 +49,11 @@
 TEST(StreamLengths, manyRoutesAreBounded)
 {
 	StreamLengths lengths;
-	for (std::size_t route = 0; route <= StreamLengths::kMostRoutes; ++route)
+	for (std::size_t route = 0; route <= StreamLengths::kMaxRoutes; ++route)
 	{
 		lengths.onStream("model", std::to_string(route), kEvents, kPace * (kEvents - 1));
 	}
-	EXPECT_EQ(lengths.holdSeconds("model", std::to_string(StreamLengths::kMostRoutes)), 0.0);
+	EXPECT_EQ(lengths.holdSeconds("model", std::to_string(StreamLengths::kMaxRoutes)), 0.0);
 	EXPECT_GT(lengths.holdSeconds("model", "0"), 0.0);
 }
 
