--- a/src/coordination/backofftable.cpp
+++ b/src/coordination/backofftable.cpp
@@ -16,7 +16,7 @@
 	}
 	Entry& entry = m_entries[_key];
 	entry.end = std::max(entry.end, _now + std::min(_span, kMaxBackoff));
-	entry.most = kInitialInFlight;
+	entry.inFlightLimit = kInitialInFlight;
 }
 
 Micros BackoffTable::left(BackendKey _key, Micros _now) const
@@ -37,11 +37,11 @@
 		m_entries.erase(it);
 		return false;
 	}
-	++it->second.underWay;
+	++it->second.inFlight;
 	return true;
 }
 
-void BackoffTable::onEnded(BackendKey _key, bool _taken)
+void BackoffTable::onEnded(BackendKey _key, bool _accepted)
 {
 	const auto it = m_entries.find(_key);
 	if (it == m_entries.end())
@@ -49,9 +49,9 @@
 		return;
 	}
 	Entry& entry = it->second;
-	entry.underWay -= std::min(entry.underWay, 1u);
-	entry.most *= _taken ? 2 : 1;
-	if (entry.most > kMaxLimitedInFlight)
+	entry.inFlight -= std::min(entry.inFlight, 1u);
+	entry.inFlightLimit *= _accepted ? 2 : 1;
+	if (entry.inFlightLimit > kMaxLimitedInFlight)
 	{
 		m_entries.erase(it);
 	}
@@ -59,14 +59,14 @@
 
 bool BackoffTable::isLimited(const Entry& _entry, Micros _now)
 {
-	return _entry.underWay >= _entry.most && _now - _entry.end <= kRampUpSpan;
+	return _entry.inFlight >= _entry.inFlightLimit && _now - _entry.end <= kRampUpSpan;
 }
 
 Availability BackoffTable::available(std::vector<const KnownBackend*> _candidates,
 									 const std::vector<std::string>& _excluded, Micros _now) const
 {
 	Availability available;
-	const auto closed = [&](const KnownBackend* _backend)
+	const auto isUnavailable = [&](const KnownBackend* _backend)
 	{
 		if (std::find(_excluded.begin(), _excluded.end(), _backend->record.id) != _excluded.end())
 		{
@@ -78,13 +78,13 @@
 			return false;
 		}
 		const Entry& entry = it->second;
-		const bool runs = entry.end > _now;
-		available.earliestEnd = runs ? std::min(available.earliestEnd, entry.end) : available.earliestEnd;
-		const bool limited = !runs && isLimited(entry, _now);
+		const bool inBackoff = entry.end > _now;
+		available.earliestEnd = inBackoff ? std::min(available.earliestEnd, entry.end) : available.earliestEnd;
+		const bool limited = !inBackoff && isLimited(entry, _now);
 		available.limited = available.limited || limited;
-		return runs || limited;
+		return inBackoff || limited;
 	};
-	std::erase_if(_candidates, closed);
+	std::erase_if(_candidates, isUnavailable);
 	available.open = std::move(_candidates);
 	return available;
 }
--- a/src/coordination/backofftable.h
+++ b/src/coordination/backofftable.h
@@ -2,8 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Backend servers that asked this gateway to send them nothing for a while, and which others may be used
-/// meanwhile.
+/// Tracks backend servers that asked this gateway to send them nothing for a while, and finds those that may be
+/// used meanwhile.
 
 #ifndef BEACONGATE_COORDINATION_BACKOFFTABLE_H
 #define BEACONGATE_COORDINATION_BACKOFFTABLE_H
@@ -17,72 +17,78 @@
 
 namespace beacongate
 {
-/// Which backend servers a request may be given now, as far as backoffs go.
+/// Backend servers that may get a request now, as far as backoffs are concerned.
 struct Availability
 {
-	std::vector<const KnownBackend*> open; ///< May take a request.
-	/// One whose backoff has ended has as many requests as it may have for now; an answer lets the next ones in.
+	std::vector<const KnownBackend*> open; ///< Backend servers that may get a request.
+	/// A backend server whose backoff has ended has as many requests in flight as allowed; an answer allows
+	/// more.
 	bool limited = false;
-	Micros earliestEnd = kNever; ///< When the first of the backoffs ends; kNever where none runs.
+	Micros earliestEnd = kNever; ///< Earliest end of a running backoff; kNever if none runs.
 
-	/// @returns whether nothing can be sent before a backoff ends.
+	/// @returns true if nothing can be sent before a backoff ends.
 	bool waitsForBackoff() const
 	{
 		return open.empty() && !limited && earliestEnd != kNever;
 	}
 };
 
-/// What backend servers asked for, by incarnation: one that starts again is free. It is no guess about their health
-/// as Balancer makes it, so that no fallback goes by it: it narrows what Balancer may choose from.
+/// Backoffs that backend servers asked for, by incarnation: a restarted backend server has none. A backoff is
+/// an explicit request, unlike the health that Balancer estimates, so no fallback overrides it; it narrows what
+/// Balancer may choose from.
 ///
-/// All times are of the steady clock of this gateway. A backoff runs from when its answer was read, which is never
-/// before the backend server sent it. Peers are not told: each of them is asked by itself.
+/// All times are of this gateway's steady clock. A backoff runs from when its answer was read, which is never
+/// before the backend server sent it. It is not forwarded to peers: each gateway is asked separately.
 class BackoffTable
 {
 public:
-	/// One answer takes a backend server out for this long at most, so that a mistaken one does not lose it for
-	/// good. One that wants nothing for longer says so again when it is tried then.
+	/// Longest backoff that one answer can cause, so that an erroneous answer does not exclude a backend server
+	/// for good. A backend server that needs more asks again when it is tried afterwards.
 	static constexpr Micros kMaxBackoff = 600 * kSecond;
-	/// Requests without an answer that a backend server may have right after its backoff. It was too full before:
-	/// all that wait for it at once would fill it again. Each answer that is no rejection doubles the number.
+	/// Requests that a backend server may have in flight right after its backoff. It was overloaded before, and
+	/// all requests that wait for it at once would overload it again. Each answer other than a rejection
+	/// doubles the limit.
 	static constexpr unsigned kInitialInFlight = 1;
-	/// From this number on, or this long after the backoff, it takes requests as any other.
+	/// Largest limit on the requests in flight after a backoff; when the limit would exceed it, the limit is
+	/// removed.
 	static constexpr unsigned kMaxLimitedInFlight = 8;
+	/// Time after the end of a backoff at which the limit is removed in any case.
 	static constexpr Micros kRampUpSpan = 2 * kSecond;
 
-	/// A backend server asked for nothing more for a span from now on. A shorter one than what is left changes
-	/// nothing: the longer one was asked for, too.
+	/// Notes that a backend server asked for no more requests for a span from now on. A shorter span than the
+	/// rest of the running backoff changes nothing, since the longer one was requested as well.
 	void onBackoffRequested(BackendKey _key, Micros _span, Micros _now);
 
-	/// @returns how much of what a backend server asked for is left, 0 for none.
+	/// @returns the rest of a backend server's backoff, 0 if none runs.
 	Micros left(BackendKey _key, Micros _now) const;
 
-	/// A request was given to a backend server.
-	/// @returns whether it is one of the few after a backoff: onEnded() has to be called for it, once.
+	/// Notes that a request was assigned to a backend server.
+	/// @returns true if its requests are limited after a backoff: onEnded() has to be called for this one,
+	/// once.
 	bool onPlaced(BackendKey _key, Micros _now);
 
-	/// One of the few after a backoff got an answer, or ended without one.
-	/// @param[in] _taken Whether the backend server took it: it answered, and not by a rejection.
-	void onEnded(BackendKey _key, bool _taken);
+	/// Notes that a limited request was answered, or ended without an answer.
+	/// @param[in] _accepted True if the backend server answered, and not with a rejection.
+	void onEnded(BackendKey _key, bool _accepted);
 
-	/// Sorts out which backend servers may be used.
-	/// @param[in] _candidates Those that take new work.
-	/// @param[in] _excluded Ids that the request was sent to before.
+	/// Finds the backend servers that may be used.
+	/// @param[in] _candidates Backend servers that take new work.
+	/// @param[in] _excluded Ids of backend servers that the request was sent to before.
 	Availability available(std::vector<const KnownBackend*> _candidates, const std::vector<std::string>& _excluded,
 						   Micros _now) const;
 
-	/// Forgets backend servers that are no longer known.
+	/// Removes backend servers that are no longer known.
 	void retain(const std::map<std::string, KnownBackend>& _known);
 
 private:
 	struct Entry
 	{
 		Micros end = 0;
-		unsigned underWay = 0; ///< Of the few after the backoff.
-		unsigned most = kInitialInFlight;
+		unsigned inFlight = 0; ///< Limited requests without an end yet.
+		unsigned inFlightLimit = kInitialInFlight;
 	};
 
-	/// @returns whether a backend server has as many requests as it may have for now.
+	/// @returns true if a backend server has as many requests in flight as allowed after its backoff.
 	static bool isLimited(const Entry& _entry, Micros _now);
 
 	std::unordered_map<BackendKey, Entry, BackendKeyHash> m_entries;
--- a/src/coordination/overloadpolicy.h
+++ b/src/coordination/overloadpolicy.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Whether a request for which no backend server has room waits or is refused, and when its caller may come again.
+/// Decides whether a request that no backend server can take now waits or is refused, and when its caller may
+/// retry.
 
 #ifndef BEACONGATE_COORDINATION_ROOMPOLICY_H
 #define BEACONGATE_COORDINATION_ROOMPOLICY_H
@@ -13,44 +14,45 @@
 
 namespace beacongate
 {
-/// What a request without room is weighed by. Times are of the steady clock.
+/// State of a request that no backend server can take now. Times are of the steady clock.
 struct OverloadContext
 {
-	Micros now = 0;          ///< When it is decided.
-	Micros answerTarget = 0; ///< Until then an answer is in time.
-	Micros waitUntil = 0;    ///< Until then the caller waits, or the route allows it to.
+	Micros now = 0;          ///< Time of the decision.
+	Micros answerTarget = 0; ///< An answer until then is in time.
+	Micros waitUntil = 0;    ///< The caller, or the route, allows the request to wait until then.
 	bool sent = false;       ///< It was sent to a backend server before.
 	bool mayHaveRun = false; ///< It may have run there.
 };
 
-/// What becomes of it.
+/// What happens to the request.
 enum class OverloadDecision
 {
 	Wait,
-	RefuseLate,    ///< It cannot be answered in time any more, and makes room for what can.
-	RefuseBackoff, ///< All backend servers asked for nothing until it would be late.
+	RefuseLate,    ///< It cannot be answered in time any more, and is dropped in favour of requests that can.
+	RefuseBackoff, ///< All backend servers are in backoffs that end too late for an answer in time.
 };
 
-/// Decides for a request that no backend server can take now. One that can only be served too late is refused at
-/// once, while its caller has time to come again; one that may have run waits as long as it may, since a refusal
-/// could not promise anything.
+/// Decides what happens to a request that no backend server can take now. A request that can only be answered
+/// too late is refused at once, while its caller has time to retry. A request that may have run waits as long
+/// as allowed, since a refusal could not promise that it did not run.
 inline OverloadDecision decideOnOverload(const OverloadContext& _context, const Availability& _available)
 {
 	if (_context.now > _context.answerTarget && !_context.sent)
 	{
 		return OverloadDecision::RefuseLate;
 	}
-	const Micros patience =
+	const Micros latest =
 		_context.mayHaveRun ? _context.waitUntil : std::min(_context.answerTarget, _context.waitUntil);
-	return _available.waitsForBackoff() && _available.earliestEnd > patience ? OverloadDecision::RefuseBackoff
-																			 : OverloadDecision::Wait;
+	return _available.waitsForBackoff() && _available.earliestEnd > latest ? OverloadDecision::RefuseBackoff
+																		   : OverloadDecision::Wait;
 }
 
-/// @returns when a refused caller may come again: once a backoff has ended where nothing is sent before, else soon.
-/// @param[in] _all Of all backend servers, whatever the request was sent to.
-/// @param[in] _spread From 0 to 1, drawn by chance: what was refused in a backoff comes back over a quarter of it
-/// and not at once.
-/// @param[in] _soon Where there may be room at any moment.
+/// @returns how long a refused caller has to wait before a retry: until a backoff has ended if nothing can be
+/// sent before, else `_soon`.
+/// @param[in] _all Availability of all backend servers, whichever the request was sent to.
+/// @param[in] _spread Random number from 0 to 1: requests refused in a backoff are retried over a quarter of
+/// its length, and not all at once.
+/// @param[in] _soon Delay if a backend server may have capacity at any moment.
 inline Micros retryAfterRefusal(const Availability& _all, double _spread, Micros _soon, Micros _now)
 {
 	constexpr double kSpreadShare = 0.25;
--- a/tests/backofftabletest.cpp
+++ b/tests/backofftabletest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Backoffs that backend servers ask for, and what becomes of requests meanwhile, without a network.
+/// Tests the backoffs that backend servers ask for and the handling of requests meanwhile, without a network.
 
 #include "coordination/balancer.h"
 #include "coordination/overloadpolicy.h"
@@ -18,10 +18,10 @@
 {
 namespace
 {
-constexpr Micros kAim = 400 * kMillisecond;
-constexpr Micros kSoon = 100 * kMillisecond;
+constexpr Micros kAnswerTarget = 400 * kMillisecond;
+constexpr Micros kRetryDelay = 100 * kMillisecond;
 
-/// Backend servers of a service and the table about them.
+/// Backend servers of a service and their backoff table.
 struct Servers
 {
 	explicit Servers(unsigned _count)
@@ -52,13 +52,13 @@
 	std::vector<const KnownBackend*> all;
 };
 
-OverloadContext waitingSince(Micros _received, Micros _now)
+OverloadContext contextAt(Micros _received, Micros _now)
 {
-	return {_now, _received + kAim, _received + 5 * kSecond, false, false};
+	return {_now, _received + kAnswerTarget, _received + 5 * kSecond, false, false};
 }
 } // namespace
 
-RC_GTEST_PROP(BackoffTable, nothingIsOpenBeforeTheLongestSpanThatWasAskedForEnds,
+RC_GTEST_PROP(BackoffTable, noServerIsAvailableBeforeTheLongestRequestedBackoffEnds,
 			  (const std::vector<std::uint16_t>& spans))
 {
 	Servers servers(1);
@@ -76,14 +76,14 @@
 	}
 }
 
-TEST(BackoffTable, oneAnswerTakesAServerOutForABoundedSpan)
+TEST(BackoffTable, oneAnswerCausesABackoffOfBoundedLength)
 {
 	Servers servers(1);
 	servers.table.onBackoffRequested(servers.key(0), 60'000 * kSecond, kSecond);
 	EXPECT_EQ(servers.table.left(servers.key(0), kSecond), BackoffTable::kMaxBackoff);
 }
 
-TEST(BackoffTable, zeroAsksForNothing)
+TEST(BackoffTable, aBackoffOfZeroHasNoEffect)
 {
 	Servers servers(1);
 	servers.table.onBackoffRequested(servers.key(0), 0, kSecond);
@@ -91,7 +91,7 @@
 	EXPECT_FALSE(servers.table.onPlaced(servers.key(0), kSecond));
 }
 
-TEST(BackoffTable, aLaterStartUnderTheSameIdIsFree)
+TEST(BackoffTable, aRestartedServerHasNoBackoff)
 {
 	Servers servers(1);
 	servers.table.onBackoffRequested(servers.key(0), 60 * kSecond, kSecond);
@@ -102,10 +102,10 @@
 	EXPECT_EQ(servers.table.left(BackendKey("0"), kSecond), 0);
 }
 
-TEST(BackoffTable, noFallbackOfTheChoiceTakesAServerThatAskedForABackoff)
+TEST(BackoffTable, noFallbackOfTheBalancerUsesAServerInABackoff)
 {
-	// The balancer takes ejected servers again where more than half are out. Of what asked for a backoff it sees
-	// none.
+	// The balancer uses ejected servers again if more than half are ejected. It never gets servers in a backoff
+	// as candidates.
 	Servers servers(3);
 	Balancer balancer("a");
 	for (unsigned number = 0; number < 3; ++number)
@@ -118,7 +118,7 @@
 	EXPECT_EQ(available.earliestEnd, 4 * kSecond);
 }
 
-TEST(BackoffTable, whatARequestWasSentToBeforeIsNotWaitedFor)
+TEST(BackoffTable, backoffsOfExcludedServersAreIgnored)
 {
 	Servers servers(2);
 	servers.table.onBackoffRequested(servers.key(0), kSecond, 0);
@@ -126,44 +126,44 @@
 	EXPECT_EQ(servers.available(0, {"0"}).earliestEnd, 5 * kSecond);
 }
 
-TEST(BackoffTable, afterItsEndAServerGetsFewRequestsAndWithEachAnswerMore)
+TEST(BackoffTable, eachAnswerAfterABackoffRaisesTheInFlightLimit)
 {
-	// Thirty requests wait for a server that was too full. Let in all at once they fill it again: with 8 places, 22
-	// of the 30 do not fit.
+	// Thirty requests wait for a server that was overloaded. Without a limit after the backoff, all are sent at
+	// once and overload it again: with 8 slots, 22 of the 30 are rejected.
 	constexpr unsigned kWaiting = 30;
-	constexpr unsigned kPlaces = 8;
+	constexpr unsigned kSlots = 8;
 	Servers servers(1);
 	const BackendKey key = servers.key(0);
 	servers.table.onBackoffRequested(key, kSecond, 0);
 	Micros now = kSecond;
 	unsigned waiting = kWaiting;
-	unsigned most = 0;
+	unsigned mostPlaced = 0;
 	std::vector<unsigned> rounds;
 	while (waiting > 0)
 	{
 		unsigned placed = 0;
-		while (placed < waiting && placed < kPlaces && !servers.available(now).open.empty())
+		while (placed < waiting && placed < kSlots && !servers.available(now).open.empty())
 		{
 			servers.table.onPlaced(key, now);
 			++placed;
 		}
 		ASSERT_GT(placed, 0u);
-		EXPECT_TRUE(placed == kPlaces || placed == waiting || servers.available(now).limited);
+		EXPECT_TRUE(placed == kSlots || placed == waiting || servers.available(now).limited);
 		for (unsigned number = 0; number < placed; ++number)
 		{
 			servers.table.onEnded(key, true);
 		}
 		rounds.push_back(placed);
-		most = std::max(most, placed);
+		mostPlaced = std::max(mostPlaced, placed);
 		waiting -= placed;
 		now += 20 * kMillisecond;
 	}
 	EXPECT_EQ(rounds.front(), BackoffTable::kInitialInFlight);
 	EXPECT_LE(rounds[1], 2 * BackoffTable::kInitialInFlight);
-	EXPECT_EQ(most, kPlaces);
+	EXPECT_EQ(mostPlaced, kSlots);
 }
 
-TEST(BackoffTable, requestsThatGetNoAnswerDoNotCloseAServerForGood)
+TEST(BackoffTable, requestsWithoutAnAnswerDoNotExcludeAServerForGood)
 {
 	Servers servers(1);
 	servers.table.onBackoffRequested(servers.key(0), kSecond, 0);
@@ -174,57 +174,59 @@
 	EXPECT_EQ(servers.available(kSecond).open.size(), 1u);
 }
 
-TEST(RoomPolicy, aRequestWaitsForABackoffThatEndsInTimeAndIsRefusedAtOnceOtherwise)
+TEST(OverloadPolicy, aRequestWaitsForABackoffOnlyIfItEndsInTime)
 {
 	Availability available;
-	available.earliestEnd = kSecond + kAim;
-	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), available), OverloadDecision::Wait);
+	available.earliestEnd = kSecond + kAnswerTarget;
+	EXPECT_EQ(decideOnOverload(contextAt(kSecond, kSecond), available), OverloadDecision::Wait);
 	available.earliestEnd += 1;
-	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), available), OverloadDecision::RefuseBackoff);
+	EXPECT_EQ(decideOnOverload(contextAt(kSecond, kSecond), available), OverloadDecision::RefuseBackoff);
 }
 
-TEST(RoomPolicy, theDeadlineCountsWhereItIsShorterThanTheAim)
+TEST(OverloadPolicy, theDeadlineAppliesIfItIsBeforeTheAnswerTarget)
 {
 	Availability available;
 	available.earliestEnd = kSecond + 200 * kMillisecond;
-	OverloadContext context = waitingSince(kSecond, kSecond);
+	OverloadContext context = contextAt(kSecond, kSecond);
 	context.waitUntil = kSecond + 100 * kMillisecond;
 	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::RefuseBackoff);
 }
 
-TEST(RoomPolicy, aServerThatIsFullOrLimitedMayHaveRoomAtAnyMoment)
+TEST(OverloadPolicy, aRequestWaitsForAServerThatIsFullOrLimited)
 {
 	Servers servers(2);
 	servers.table.onBackoffRequested(servers.key(0), 60 * kSecond, 0);
 	const Availability full = servers.available(kSecond);
-	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), full), OverloadDecision::Wait);
+	EXPECT_EQ(decideOnOverload(contextAt(kSecond, kSecond), full), OverloadDecision::Wait);
 	Availability limited;
 	limited.limited = true;
 	limited.earliestEnd = 60 * kSecond;
-	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond), limited), OverloadDecision::Wait);
-	EXPECT_EQ(decideOnOverload(waitingSince(kSecond, kSecond + kAim + 1), limited), OverloadDecision::RefuseLate);
+	EXPECT_EQ(decideOnOverload(contextAt(kSecond, kSecond), limited), OverloadDecision::Wait);
+	EXPECT_EQ(decideOnOverload(contextAt(kSecond, kSecond + kAnswerTarget + 1), limited),
+			  OverloadDecision::RefuseLate);
 }
 
-TEST(RoomPolicy, whatMayHaveRunWaitsAsLongAsItMay)
+TEST(OverloadPolicy, aRequestThatMayHaveRunWaitsUntilItsDeadline)
 {
 	Availability available;
 	available.earliestEnd = 4 * kSecond;
-	OverloadContext context = waitingSince(kSecond, kSecond);
+	OverloadContext context = contextAt(kSecond, kSecond);
 	context.sent = true;
 	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::RefuseBackoff);
 	context.mayHaveRun = true;
 	EXPECT_EQ(decideOnOverload(context, available), OverloadDecision::Wait);
 }
 
-RC_GTEST_PROP(RoomPolicy, aRefusalTellsNoMomentBeforeThereIsRoom, (std::uint16_t span, std::uint8_t drawn))
+RC_GTEST_PROP(OverloadPolicy, theRetryDelayOfARefusalCoversTheEarliestBackoff,
+			  (std::uint16_t span, std::uint8_t spread))
 {
 	Availability all;
 	all.earliestEnd = kSecond + span * kMillisecond;
-	const Micros told = retryAfterRefusal(all, drawn / 256.0, kSoon, kSecond);
-	RC_ASSERT(kSecond + told >= all.earliestEnd);
-	RC_ASSERT(told <= std::max(kSoon, span * kMillisecond * 5 / 4));
+	const Micros retryAfter = retryAfterRefusal(all, spread / 256.0, kRetryDelay, kSecond);
+	RC_ASSERT(kSecond + retryAfter >= all.earliestEnd);
+	RC_ASSERT(retryAfter <= std::max(kRetryDelay, span * kMillisecond * 5 / 4));
 	all.limited = true;
-	RC_ASSERT(retryAfterRefusal(all, 0.5, kSoon, kSecond) == kSoon);
+	RC_ASSERT(retryAfterRefusal(all, 0.5, kRetryDelay, kSecond) == kRetryDelay);
 }
 
 } // namespace beacongate::test
