--- a/src/coordination/balancer.cpp
+++ b/src/coordination/balancer.cpp
@@ -10,21 +10,28 @@
 {
 namespace
 {
-constexpr double kRereadWeight = 4.0;    ///< A shared part that is read again also delays all others there, and
-										 ///< drives out what they share. Measured: docs/POLICY.md, round 4.
-constexpr double kRunningMillis = 0.4;   ///< Added for each request that already runs at an engine.
-constexpr double kPlainMillis = 10.0;    ///< Added for each call that already runs at a plain service.
-constexpr double kFullMillis = 500.0;    ///< Added where all slots are taken.
-constexpr double kColdMillis = 50.0;     ///< Added while a backend server is slow from its start.
-constexpr double kOtherZoneMillis = 0.5; ///< Added where the way is longer.
+/// Weight of shared prompt tokens that are missing in a cache: their prefill also delays all other requests at
+/// the engine and evicts the prefixes that those share. See docs/POLICY.md, round 4.
+constexpr double kCacheMissWeight = 4.0;
+constexpr double kInFlightMillis = 0.4;        ///< Cost of each request in flight at an engine.
+constexpr double kPlainCallMillis = 10.0;      ///< Cost of each call in flight at a plain service.
+constexpr double kFullMillis = 500.0;          ///< Cost of a backend server whose slots are all taken.
+constexpr double kColdMillis = 50.0;           ///< Cost of a backend server that is slow after its start.
+constexpr double kOtherDataCentreMillis = 0.5; ///< Cost of a backend server in another data centre.
+/// Weight of the previous failure share when an outcome is added.
 constexpr double kHealthDecay = 0.8;
+/// Failure share above which a backend server is ejected.
 constexpr double kEjectShare = 0.5;
+/// Outcomes that the failure share needs before it counts.
 constexpr unsigned kEjectSamples = 4;
+/// Consecutive failures that eject a backend server.
 constexpr unsigned kEjectConsecutive = 3;
+/// Shortest ejection; each further one lasts twice as long, up to kEjectMax.
 constexpr Micros kEjectMin = 1500 * kMillisecond;
 constexpr Micros kEjectMax = 6 * kSecond;
 
-/// The finishing steps of SplitMix64 over both values: even for ids that differ in one bit.
+/// Finalizer of SplitMix64 over both values; the weights are evenly distributed even for ids that differ in one
+/// bit.
 std::uint64_t rendezvousWeight(std::uint64_t _part, BackendKey _key)
 {
 	std::uint64_t mixed = _part ^ (std::uint64_t{_key.value} * 0x9E3779B97F4A7C15U);
@@ -33,7 +40,8 @@
 	return mixed ^ (mixed >> 31);
 }
 
-/// The part that decides where a prompt is likely to be cached: the longest chain that others may share.
+/// @returns the id that the preferred backend server is derived from: the longest prefix that other requests
+/// may share.
 std::uint64_t affinityPart(const PlacementRequest& _request)
 {
 	const std::size_t shared = _request.parts.size() < 2 ? 0 : _request.parts.size() - 2;
@@ -66,7 +74,7 @@
 	std::vector<const KnownBackend*> healthy;
 	std::copy_if(allowed.begin(), allowed.end(), std::back_inserter(healthy),
 				 [&](const KnownBackend* _backend) { return !ejected(_backend->key, _now); });
-	// Where most look bad, the fault is more likely elsewhere: all are used.
+	// If more than half are ejected, the fault is more likely elsewhere: all are used.
 	std::vector<const KnownBackend*>& pool = healthy.size() * 2 >= allowed.size() ? healthy : allowed;
 	const KnownBackend* preferred = nullptr;
 	if (_request.parts.size() > 1)
@@ -83,7 +91,7 @@
 			}
 		}
 	}
-	draw(pool, preferred);
+	sampleCandidates(pool, preferred);
 	Placement placement;
 	for (const KnownBackend* backend : pool)
 	{
@@ -102,19 +110,19 @@
 	return placement;
 }
 
-void Balancer::draw(std::vector<const KnownBackend*>& _pool, const KnownBackend* _preferred)
+void Balancer::sampleCandidates(std::vector<const KnownBackend*>& _pool, const KnownBackend* _preferred)
 {
-	const std::size_t weighedAll = m_manyGateways ? kDrawn : kWeighedAll;
-	if (_pool.size() <= weighedAll)
+	const std::size_t fullScanLimit = m_manyGateways ? kSampleSize : kFullScanLimit;
+	if (_pool.size() <= fullScanLimit)
 	{
 		return;
 	}
-	for (std::size_t index = 0; index < kDrawn; ++index)
+	for (std::size_t index = 0; index < kSampleSize; ++index)
 	{
 		const std::size_t other = index + m_random() % (_pool.size() - index);
 		std::swap(_pool[index], _pool[other]);
 	}
-	_pool.resize(kDrawn);
+	_pool.resize(kSampleSize);
 	if (_preferred)
 	{
 		_pool.push_back(_preferred);
@@ -125,17 +133,17 @@
 						Micros _now) const
 {
 	const BackendLoad load = totalLoad(_backend.key);
-	double cost = _backend.record.dataCentre == m_dataCentre ? 0.0 : kOtherZoneMillis;
+	double cost = _backend.record.dataCentre == m_dataCentre ? 0.0 : kOtherDataCentreMillis;
 	cost += load.inFlight >= _backend.record.slots ? kFullMillis : 0.0;
 	cost += _backend.coldUntil > _now ? kColdMillis : 0.0;
 	if (_request.promptTokens == 0)
 	{
-		return cost + kPlainMillis * load.inFlight;
+		return cost + kPlainCallMillis * load.inFlight;
 	}
 	const std::uint64_t missing = _preferred ? 0 : _request.sharedTokens();
 	cost += static_cast<double>(load.pendingTokens) / _request.tokensPerMilli;
-	cost += kRereadWeight * static_cast<double>(missing) / _request.tokensPerMilli;
-	cost += kRunningMillis * load.inFlight;
+	cost += kCacheMissWeight * static_cast<double>(missing) / _request.tokensPerMilli;
+	cost += kInFlightMillis * load.inFlight;
 	return cost;
 }
 
@@ -200,7 +208,7 @@
 	{
 		health.ejectSpan = std::clamp(health.ejectSpan * 2, kEjectMin, kEjectMax);
 		health.ejectedUntil = _now + health.ejectSpan;
-		// One more failure after the span puts it out again, one success counts for it.
+		// After the ejection, one more failure ejects it again, and one success resets the count.
 		health.consecutive = kEjectConsecutive - 1;
 		health.samples = 0;
 		health.failureShare = 0.0;
@@ -231,7 +239,7 @@
 		const auto it = m_peerTotals.find(load.key);
 		if (it == m_peerTotals.end())
 		{
-			continue; // A peer told of nothing there, and the sum was erased since.
+			continue; // The peer reported no load there, and the zero sum was erased.
 		}
 		it->second.inFlight -= load.inFlight;
 		it->second.pendingTokens -= load.pendingTokens;
@@ -246,12 +254,12 @@
 {
 	for (auto it = m_peers.begin(); it != m_peers.end();)
 	{
-		const bool silent = _now - it->second.heard > m_peerLoadLifetime;
-		if (silent)
+		const bool expired = _now - it->second.receivedAt > m_peerLoadLifetime;
+		if (expired)
 		{
 			removeFromTotals(it->second.loads);
 		}
-		it = silent ? m_peers.erase(it) : std::next(it);
+		it = expired ? m_peers.erase(it) : std::next(it);
 	}
 }
 
--- a/tests/balancertest.cpp
+++ b/tests/balancertest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Loads that gateways tell each other, and the choice of a backend server by them.
+/// Tests the loads that gateways report to each other, and the choice of a backend server by them.
 
 #include "coordination/balancer.h"
 
@@ -30,17 +30,17 @@
 }
 } // namespace
 
-RC_GTEST_PROP(Balancer, countsEachPeersLatestWordOnceWhileItHolds, (const std::vector<std::uint8_t>& steps))
+RC_GTEST_PROP(Balancer, countsTheLatestReportOfEachPeerOnceUntilItExpires, (const std::vector<std::uint8_t>& steps))
 {
 	constexpr unsigned kPeers = 4;
 	constexpr unsigned kBackends = 3;
-	struct Word
+	struct Report
 	{
-		Micros heard = kLongAgo;
+		Micros receivedAt = kLongAgo;
 		std::vector<BackendLoad> loads;
 	};
 	Balancer balancer("a");
-	std::map<std::string, Word> words;
+	std::map<std::string, Report> reports;
 	Micros now = kSecond;
 	for (const std::uint8_t step : steps)
 	{
@@ -51,7 +51,7 @@
 		{
 			loads.push_back({BackendKey("b" + std::to_string(backend)), step % 3u, std::uint64_t{step % 3u} * 10U});
 		}
-		words[peer] = {now, loads};
+		reports[peer] = {now, loads};
 		balancer.setPeerLoads(peer, loads, now);
 		now += step % 11 == 0 ? 900 * kMillisecond : 0;
 		balancer.expirePeerLoads(now);
@@ -59,11 +59,12 @@
 		{
 			const std::string id = "b" + std::to_string(backend);
 			unsigned expected = 0;
-			for (const auto& [name, word] : words)
+			for (const auto& [name, report] : reports)
 			{
-				for (const BackendLoad& load : word.loads)
+				for (const BackendLoad& load : report.loads)
 				{
-					expected += load.key == BackendKey(id) && now - word.heard <= kSecond ? load.inFlight : 0;
+					expected +=
+						load.key == BackendKey(id) && now - report.receivedAt <= kSecond ? load.inFlight : 0;
 				}
 			}
 			RC_ASSERT(balancer.totalInFlight(BackendKey(id)) == expected);
@@ -71,7 +72,7 @@
 	}
 }
 
-TEST(Balancer, choosesByWhatAllGatewaysSent)
+TEST(Balancer, choosesByTheLoadOfAllGateways)
 {
 	Balancer balancer("a");
 	const KnownBackend first = backendOf("b0", 2);
@@ -90,20 +91,21 @@
 	EXPECT_EQ(later.backend->record.id, "b0") << "the peer was not heard any more";
 }
 
-/// Many gateways before engines of 12 slots, open loop, at half of what the slots bear. Gateways place by loads
-/// that are told every half second; each engine turns away what comes while all its slots are taken.
-struct CrowdModel
+/// Simulates many gateways in front of engines of 12 slots with an open-loop load at half of the slots'
+/// capacity. Gateways place requests by loads that are reported every half second; each engine rejects requests
+/// while all its slots are taken.
+struct FleetSimulation
 {
 	static constexpr unsigned kSlots = 12;
 	static constexpr unsigned kRequests = 6'000;
-	static constexpr Micros kHeld = 600 * kMillisecond;
-	static constexpr Micros kTold = 500 * kMillisecond;
+	static constexpr Micros kSlotHoldTime = 600 * kMillisecond;
+	static constexpr Micros kReportInterval = 500 * kMillisecond;
 
 	unsigned gateways = 0;
 	unsigned engines = 0;
 
-	/// @returns requests that engines turned away.
-	unsigned play() const
+	/// @returns the number of requests that engines rejected.
+	unsigned run() const
 	{
 		struct Run
 		{
@@ -111,7 +113,7 @@
 			unsigned gateway = 0;
 			unsigned engine = 0;
 		};
-		const Micros between = 2 * kHeld / (Micros{engines} * kSlots);
+		const Micros between = 2 * kSlotHoldTime / (Micros{engines} * kSlots);
 		std::vector<KnownBackend> servers;
 		std::vector<const KnownBackend*> candidates;
 		std::map<std::string, unsigned> numbers;
@@ -129,15 +131,15 @@
 		for (unsigned number = 0; number < gateways; ++number)
 		{
 			balancers.emplace_back("a", number + 1);
-			balancers.back().setPeerLoadLifetime(3 * kTold);
+			balancers.back().setPeerLoadLifetime(3 * kReportInterval);
 			balancers.back().setManyGateways(true);
 		}
 		std::vector<unsigned> running(engines);
 		std::deque<Run> runs;
 		PlacementRequest request;
 		request.promptTokens = 1'000;
-		unsigned turnedAway = 0;
-		Micros told = 0;
+		unsigned rejected = 0;
+		Micros lastReport = 0;
 		std::minstd_rand random(7);
 		for (unsigned number = 0; number < kRequests; ++number)
 		{
@@ -147,62 +149,63 @@
 				--running[runs.front().engine];
 				balancers[runs.front().gateway].onEnded(servers[runs.front().engine].key, request, true);
 			}
-			if (now - told >= kTold)
+			if (now - lastReport >= kReportInterval)
 			{
-				told = now;
-				tellLoads(balancers, now);
+				lastReport = now;
+				exchangeLoads(balancers, now);
 			}
 			const unsigned gateway = static_cast<unsigned>(random()) % gateways;
 			const Placement placement = balancers[gateway].choose(candidates, request, {}, now);
 			const unsigned engine = numbers.at(placement.backend->record.id);
 			if (running[engine] == kSlots)
 			{
-				++turnedAway;
+				++rejected;
 				continue;
 			}
 			++running[engine];
 			balancers[gateway].onSent(placement.backend->key, request);
 			balancers[gateway].onFirstEvent(placement.backend->key, request);
-			runs.push_back({now + kHeld, gateway, engine});
+			runs.push_back({now + kSlotHoldTime, gateway, engine});
 		}
-		return turnedAway;
+		return rejected;
 	}
 
 private:
-	static void tellLoads(std::vector<Balancer>& _balancers, Micros _now)
+	static void exchangeLoads(std::vector<Balancer>& _balancers, Micros _now)
 	{
-		for (std::size_t hearer = 0; hearer < _balancers.size(); ++hearer)
+		for (std::size_t receiver = 0; receiver < _balancers.size(); ++receiver)
 		{
 			for (std::size_t peer = 0; peer < _balancers.size(); ++peer)
 			{
-				if (peer != hearer)
+				if (peer != receiver)
 				{
-					_balancers[hearer].setPeerLoads(std::to_string(peer), _balancers[peer].ownLoads(), _now);
+					_balancers[receiver].setPeerLoads(std::to_string(peer), _balancers[peer].ownLoads(), _now);
 				}
 			}
 		}
 	}
 };
 
-/// The load that this answers: 60 gateways place requests by loads that are half a second old. Before, with all
-/// engines weighed by each gateway, 4,645 of 6,000 requests were turned away. After, with two drawn: 101. (With
-/// three 399, with four 710, with six 1,222.)
-TEST(Balancer, manyGatewaysWithOldWordOfLoadsDoNotAllChooseTheSameEngines)
+/// 60 gateways place requests by loads that are half a second old. If each gateway compares all engines, all
+/// choose the same few, and 4,645 of 6,000 requests are rejected. With two drawn at random, 101 are rejected,
+/// with three 399, with four 710, with six 1,222.
+TEST(Balancer, manyGatewaysWithOldLoadReportsSpreadOverAllEngines)
 {
-	const unsigned turnedAway = CrowdModel{60, 100}.play();
-	RecordProperty("turnedAway", static_cast<int>(turnedAway));
-	EXPECT_LT(turnedAway, CrowdModel::kRequests / 20);
-	std::printf("%u of %u requests turned away\n", turnedAway, CrowdModel::kRequests);
+	const unsigned rejected = FleetSimulation{60, 100}.run();
+	RecordProperty("turnedAway", static_cast<int>(rejected));
+	EXPECT_LT(rejected, FleetSimulation::kRequests / 20);
+	std::printf("%u of %u requests turned away\n", rejected, FleetSimulation::kRequests);
 }
 
-/// After a reclaim 20 engines were left before 78 gateways, few enough that all of them were weighed for each
-/// request. Before: 4,451 of 6,000 requests turned away. After, with two drawn also of few: 88.
-TEST(Balancer, manyGatewaysDoNotAllChooseTheSameOfTheFewEnginesThatAReclaimLeft)
+/// After a reclaim, 20 engines are left for 78 gateways, few enough that each gateway would compare all of
+/// them: 4,451 of 6,000 requests are then rejected. With two drawn at random also from few engines, 88 are
+/// rejected.
+TEST(Balancer, manyGatewaysSpreadOverTheFewEnginesLeftByAReclaim)
 {
-	const unsigned turnedAway = CrowdModel{78, 20}.play();
-	RecordProperty("turnedAway", static_cast<int>(turnedAway));
-	EXPECT_LT(turnedAway, CrowdModel::kRequests / 10);
-	std::printf("%u of %u requests turned away\n", turnedAway, CrowdModel::kRequests);
+	const unsigned rejected = FleetSimulation{78, 20}.run();
+	RecordProperty("turnedAway", static_cast<int>(rejected));
+	EXPECT_LT(rejected, FleetSimulation::kRequests / 10);
+	std::printf("%u of %u requests turned away\n", rejected, FleetSimulation::kRequests);
 }
 
 } // namespace beacongate::test
