--- a/src/coordination/capacityplanner.cpp
+++ b/src/coordination/capacityplanner.cpp
@@ -10,15 +10,21 @@
 {
 namespace
 {
-// Measured on five days of three deployments (docs/POLICY.md, round 6), but for those that say otherwise.
-constexpr double kSpareFactor = 1.6;    ///< Of the square root of the work: what a varying load needs.
-constexpr double kSpareServers = 2.0;   ///< On top: what a reclaim takes is made up by what stands elsewhere.
-constexpr double kSpareShare = 0.4;     ///< Of the work, at least: one of four data centres may go, and a bit more.
-constexpr double kRequiredFactor = 1.6; ///< The same without comfort; with 0.8, reclaims are felt at once.
+// See docs/POLICY.md, round 6, for the measurements behind these constants.
+constexpr double kSpareFactor = 1.6; ///< Spare servers for each square root of the work, for a varying load.
+/// Spare servers on top: what a reclaim takes is replaced by servers elsewhere.
+constexpr double kSpareServers = 2.0;
+/// Least spare share of the work: one of four data centres may be lost, and a little more.
+constexpr double kSpareShare = 0.4;
+/// As kSpareFactor, for the servers that are required at any price; with 0.8, a reclaim delays requests at
+/// once.
+constexpr double kRequiredFactor = 1.6;
+/// As kSpareServers, for the servers that are required at any price.
 constexpr double kRequiredServers = 0.6;
-constexpr double kFirstShare = 0.4; ///< Of the most that may be ordered; a judgement.
+constexpr double kFirstShare = 0.4; ///< Share of the maximum that is ordered before any load is known.
+/// Interval at which an order is sent again that the platform has not accepted.
 constexpr Micros kResend = 1 * kSecond;
-constexpr double kSlotUse = 0.85; ///< A larger share of slots is not held without requests that wait.
+constexpr double kMaxSlotUse = 0.85; ///< Largest share of slots that can be held without requests that wait.
 
 double priceOf(const ScalingSettings& _scaling, const std::string& _zone)
 {
@@ -41,9 +47,9 @@
 }
 } // namespace
 
-double CapacityPlanner::combinedWork(double _reading, double _occupied)
+double CapacityPlanner::combinedWork(double _prefill, double _occupied)
 {
-	return _reading + _occupied / kSlotUse;
+	return _prefill + _occupied / kMaxSlotUse;
 }
 
 unsigned CapacityPlanner::serversDesired(double _work)
@@ -64,15 +70,16 @@
 	Need need;
 	need.desired = serversDesired(_seen.work);
 	need.required = serversRequired(_seen.work);
-	need.idle = _seen.firstStart && _seen.work <= 0.0;
-	need.known = need.idle || _seen.listed;
+	need.noLoadYet = _seen.firstStart && _seen.work <= 0.0;
+	need.fullyListed = need.noLoadYet || _seen.listed;
 	if (_seen.settled)
 	{
 		return need;
 	}
 	const unsigned guess = _seen.firstStart ? initialServers(_scaling) : _seen.running;
 	need.desired = std::max(need.desired, guess);
-	// At the very first start, on-demand capacity is not waited for.
+	// At the first start of the system, half is required, so that the start does not wait for on-demand
+	// capacity.
 	need.required = std::max(need.required, _seen.firstStart ? guess / 2 : guess);
 	return need;
 }
@@ -91,24 +98,24 @@
 	const std::vector<std::string> names = byPrice(_scaling, _zones);
 	const auto most = static_cast<unsigned>(names.size()) * _scaling.maximum;
 	unsigned left = std::min(_needed, most);
-	std::vector<std::string> open;
+	std::vector<std::string> withSpot;
 	for (const std::string& name : names)
 	{
 		spread[name] = std::min(std::max(1u, _scaling.minimum), _scaling.maximum);
 		const auto zone = m_zones.find(name);
-		if (zone == m_zones.end() || !zone->second.spotDry)
+		if (zone == m_zones.end() || !zone->second.spotUnavailable)
 		{
-			open.push_back(name);
+			withSpot.push_back(name);
 			left -= std::min(left, spread[name]);
 		}
 	}
-	// What one data centre does not give is ordered in the others, at the price of spot still.
-	const std::vector<std::string>& takers = open.empty() ? names : open;
-	// Evenly, the cheapest first: a reclaim takes all spot capacity of one data centre.
+	// Spot capacity that one data centre refuses is ordered in the others, still at the spot price.
+	const std::vector<std::string>& targets = withSpot.empty() ? names : withSpot;
+	// The spread is even, from the cheapest on: a reclaim takes all spot capacity of one data centre.
 	while (left > 0)
 	{
 		bool placed = false;
-		for (const std::string& name : takers)
+		for (const std::string& name : targets)
 		{
 			if (left > 0 && spread[name] < _scaling.maximum)
 			{
@@ -125,31 +132,31 @@
 	return spread;
 }
 
-void CapacityPlanner::Held::update(unsigned _wanted, Micros _releaseDelay, Micros _now)
+void CapacityPlanner::DelayedDecrease::update(unsigned _wanted, Micros _releaseDelay, Micros _now)
 {
-	if (_wanted >= count || _now - needed > _releaseDelay)
+	if (_wanted >= count || _now - neededAt > _releaseDelay)
 	{
 		count = _wanted;
 	}
 	if (_wanted >= count)
 	{
-		needed = _now;
+		neededAt = _now;
 	}
 }
 
-bool CapacityPlanner::due(const Ordered& _ordered, unsigned _wanted, unsigned _standing, Micros _bootTime,
-						  Micros _now) const
+bool CapacityPlanner::isOrderDue(const LastOrder& _lastOrder, unsigned _wanted, unsigned _running, Micros _bootTime,
+								 Micros _now) const
 {
-	if (!_ordered.known || _ordered.count != _wanted)
+	if (!_lastOrder.accepted || _lastOrder.count != _wanted)
 	{
-		return _now - _ordered.at >= kResend || _ordered.count != _wanted;
+		return _now - _lastOrder.at >= kResend || _lastOrder.count != _wanted;
 	}
-	return _standing != _wanted && _now - _ordered.at > _bootTime + kBootSlack;
+	return _running != _wanted && _now - _lastOrder.at > _bootTime + kBootSlack;
 }
 
-bool CapacityPlanner::onItsWay(const Ordered& _ordered, Micros _bootTime, Micros _now) const
+bool CapacityPlanner::isBooting(const LastOrder& _lastOrder, Micros _bootTime, Micros _now) const
 {
-	return _ordered.known && _now - _ordered.at <= _bootTime + kBootSlack;
+	return _lastOrder.accepted && _now - _lastOrder.at <= _bootTime + kBootSlack;
 }
 
 std::vector<CapacityOrder> CapacityPlanner::plan(const ScalingSettings& _scaling,
@@ -160,7 +167,7 @@
 	const unsigned running = planSpot(_scaling, _zones, _need, _now, orders);
 	const bool unanswered = std::any_of(m_zones.begin(), m_zones.end(),
 										[](const auto& _entry) { return _entry.second.spot.at == kLongAgo; });
-	if (_need.known && !(_need.idle && unanswered))
+	if (_need.fullyListed && !(_need.noLoadYet && unanswered))
 	{
 		const unsigned secure = running - std::min(running, spotAtRisk(_zones));
 		const unsigned missing = _need.required - std::min(_need.required, secure);
@@ -181,20 +188,20 @@
 	{
 		const ZoneCapacity& capacity = _zones.at(name);
 		ZonePlan& zone = m_zones[name];
-		const bool expected = _need.idle && onItsWay(zone.spot, _scaling.bootTime, _now);
+		const bool expected = _need.noLoadYet && isBooting(zone.spot, _scaling.bootTime, _now);
 		running += expected ? std::max(capacity.spot, zone.spot.count) : capacity.spot;
 		if (capacity.reclaiming)
 		{
 			zone.spotBlockedUntil = std::max(zone.spotBlockedUntil, _now + kSpotRetry);
-			zone.spotDry = true;
+			zone.spotUnavailable = true;
 		}
-		// A dry data centre is asked for what it would give were it not dry.
-		zone.spotHeld.update(zone.spotDry ? std::max(wanted, evenShare) : wanted, kSpotRelease, _now);
-		const unsigned released = std::min(surplus, capacity.spot - std::min(capacity.spot, zone.spotHeld.count));
+		// A data centre without spot capacity is asked for the share that it would get if it had some.
+		zone.spotTarget.update(zone.spotUnavailable ? std::max(wanted, evenShare) : wanted, kSpotRelease, _now);
+		const unsigned released = std::min(surplus, capacity.spot - std::min(capacity.spot, zone.spotTarget.count));
 		surplus -= released;
-		const unsigned count = std::max(zone.spotHeld.count, capacity.spot - released);
+		const unsigned count = std::max(zone.spotTarget.count, capacity.spot - released);
 		const bool blocked = zone.spotBlockedUntil > _now;
-		if (!blocked && due(zone.spot, count, capacity.spot, _scaling.bootTime, _now))
+		if (!blocked && isOrderDue(zone.spot, count, capacity.spot, _scaling.bootTime, _now))
 		{
 			_orders.push_back({name, true, count});
 		}
@@ -202,19 +209,20 @@
 	return running;
 }
 
-unsigned CapacityPlanner::spotSurplus(const std::map<std::string, ZoneCapacity>& _zones, unsigned _wished) const
+unsigned CapacityPlanner::spotSurplus(const std::map<std::string, ZoneCapacity>& _zones, unsigned _desired) const
 {
 	unsigned running = 0;
 	for (const auto& [name, capacity] : _zones)
 	{
 		running += capacity.spot;
 	}
-	return anyDry() ? 0 : running - std::min(running, _wished);
+	return anySpotUnavailable() ? 0 : running - std::min(running, _desired);
 }
 
-bool CapacityPlanner::anyDry() const
+bool CapacityPlanner::anySpotUnavailable() const
 {
-	return std::any_of(m_zones.begin(), m_zones.end(), [](const auto& _entry) { return _entry.second.spotDry; });
+	return std::any_of(m_zones.begin(), m_zones.end(),
+					   [](const auto& _entry) { return _entry.second.spotUnavailable; });
 }
 
 unsigned CapacityPlanner::spotAtRisk(const std::map<std::string, ZoneCapacity>& _zones) const
@@ -224,31 +232,31 @@
 	{
 		most = std::max(most, capacity.spot);
 	}
-	return anyDry() ? most : 0;
+	return anySpotUnavailable() ? most : 0;
 }
 
 void CapacityPlanner::planOnDemand(const ScalingSettings& _scaling,
 								   const std::map<std::string, ZoneCapacity>& _zones, unsigned _missing,
 								   Micros _now, std::vector<CapacityOrder>& _orders)
 {
-	for (const auto& [name, wanted] : makeUp(_scaling, _zones, _missing))
+	for (const auto& [name, wanted] : spreadOnDemand(_scaling, _zones, _missing))
 	{
 		ZonePlan& zone = m_zones[name];
-		zone.onDemandHeld.update(wanted, kOnDemandRelease, _now);
-		if (due(zone.onDemand, zone.onDemandHeld.count, _zones.at(name).onDemand, _scaling.bootTime, _now))
+		zone.onDemandTarget.update(wanted, kOnDemandRelease, _now);
+		if (isOrderDue(zone.onDemand, zone.onDemandTarget.count, _zones.at(name).onDemand, _scaling.bootTime, _now))
 		{
-			_orders.push_back({name, false, zone.onDemandHeld.count});
+			_orders.push_back({name, false, zone.onDemandTarget.count});
 		}
 	}
 }
 
-std::map<std::string, unsigned> CapacityPlanner::makeUp(const ScalingSettings& _scaling,
-														const std::map<std::string, ZoneCapacity>& _zones,
-														unsigned _missing)
+std::map<std::string, unsigned> CapacityPlanner::spreadOnDemand(const ScalingSettings& _scaling,
+																const std::map<std::string, ZoneCapacity>& _zones,
+																unsigned _missing)
 {
 	std::map<std::string, unsigned> counts;
 	const std::vector<std::string> names = byPrice(_scaling, _zones);
-	// What stands is kept before anything new is started.
+	// Running servers are kept before new ones are started.
 	for (const std::string& name : names)
 	{
 		const unsigned kept = std::min(_missing, _zones.at(name).onDemand);
@@ -266,19 +274,19 @@
 	return counts;
 }
 
-void CapacityPlanner::onAnswer(const CapacityOrder& _order, bool _taken, bool _refused, Micros _now)
+void CapacityPlanner::onAnswer(const CapacityOrder& _order, bool _accepted, bool _refused, Micros _now)
 {
 	ZonePlan& zone = m_zones[_order.dataCentre];
-	Ordered& ordered = _order.spot ? zone.spot : zone.onDemand;
-	ordered = {_order.count, _taken, _now};
+	LastOrder& lastOrder = _order.spot ? zone.spot : zone.onDemand;
+	lastOrder = {_order.count, _accepted, _now};
 	if (_refused && _order.spot)
 	{
 		zone.spotBlockedUntil = _now + kSpotRetry;
-		zone.spotDry = true;
+		zone.spotUnavailable = true;
 	}
-	if (_taken && _order.spot)
+	if (_accepted && _order.spot)
 	{
-		zone.spotDry = false;
+		zone.spotUnavailable = false;
 	}
 }
 
--- a/tests/capacitytest.cpp
+++ b/tests/capacitytest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Orders for capacity, against a small model of a platform that boots, reclaims and refuses.
+/// Tests orders for capacity against a small model of a platform that boots, reclaims and refuses servers.
 
 #include "coordination/capacityplanner.h"
 #include "coordination/demandmeter.h"
@@ -23,10 +23,10 @@
 struct Pool
 {
 	unsigned running = 0;
-	std::deque<Micros> booting; ///< When each will stand.
+	std::deque<Micros> booting; ///< When each will be running.
 };
 
-/// Does what it is ordered to.
+/// Model of the platform that carries out orders.
 class ModelPlatform
 {
 public:
@@ -60,11 +60,11 @@
 		for (const CapacityOrder& order : planner.plan(scaling, zones, _need, now))
 		{
 			++orders;
-			const bool refused = order.spot && (dryUntil > now || dryZones[order.dataCentre] > now);
+			const bool refused = order.spot && (noSpotUntil > now || noSpotUntilByZone[order.dataCentre] > now);
 			planner.onAnswer(order, !refused, refused, now);
 			if (!refused)
 			{
-				fill(order);
+				execute(order);
 			}
 		}
 	}
@@ -77,19 +77,19 @@
 		}
 	}
 
-	void reclaim(const std::string& _zone, Micros _dry)
+	void reclaim(const std::string& _zone, Micros _span)
 	{
 		pools[{_zone, true}] = {};
 		reclaiming[_zone] = now + 2 * kSecond;
-		dryUntil = now + _dry;
+		noSpotUntil = now + _span;
 	}
 
-	/// As reclaim(), and the other zones go on giving spot capacity.
-	void reclaimAlone(const std::string& _zone, Micros _dry)
+	/// As reclaim(), but the other data centres still have spot capacity.
+	void reclaimOneZone(const std::string& _zone, Micros _span)
 	{
 		pools[{_zone, true}] = {};
 		reclaiming[_zone] = now + 2 * kSecond;
-		dryZones[_zone] = now + _dry;
+		noSpotUntilByZone[_zone] = now + _span;
 	}
 
 	unsigned count(bool _spot) const
@@ -106,13 +106,13 @@
 	CapacityPlanner planner;
 	std::map<std::pair<std::string, bool>, Pool> pools;
 	std::map<std::string, Micros> reclaiming;
-	Micros dryUntil = 0;
-	std::map<std::string, Micros> dryZones;
+	Micros noSpotUntil = 0;
+	std::map<std::string, Micros> noSpotUntilByZone;
 	Micros now = kSecond;
 	unsigned orders = 0;
 
 private:
-	void fill(const CapacityOrder& _order)
+	void execute(const CapacityOrder& _order)
 	{
 		Pool& pool = pools[{_order.dataCentre, _order.spot}];
 		while (pool.running + pool.booting.size() > _order.count && !pool.booting.empty())
@@ -128,7 +128,7 @@
 };
 } // namespace
 
-TEST(CapacityPlanner, spotReplacesOnDemandWithoutAGap)
+TEST(CapacityPlanner, spotReplacesOnDemandWithoutALossOfCapacity)
 {
 	ModelPlatform platform;
 	platform.pools[{"a", false}].running = 3;
@@ -147,7 +147,7 @@
 	EXPECT_EQ(platform.orders, settled) << "orders that stand were sent again";
 }
 
-TEST(CapacityPlanner, nothingOnDemandIsTouchedBeforeAllOfItIsListed)
+TEST(CapacityPlanner, onDemandCapacityIsKeptUntilAllOfItIsListed)
 {
 	ModelPlatform platform;
 	platform.pools[{"a", false}].running = 1;
@@ -158,7 +158,7 @@
 	EXPECT_EQ(platform.count(false), 1u);
 }
 
-TEST(CapacityPlanner, oneThatPlansAfterARestartKeepsWhatStandsUntilItKnowsTheLoad)
+TEST(CapacityPlanner, aRestartedPlannerKeepsTheRunningCapacityUntilItKnowsTheLoad)
 {
 	ScalingSettings scaling;
 	scaling.minimum = 1;
@@ -181,22 +181,22 @@
 	seen.running = 4;
 	const CapacityPlanner::Need first = CapacityPlanner::needFor(scaling, seen);
 	EXPECT_EQ(first.desired, CapacityPlanner::initialServers(scaling));
-	EXPECT_TRUE(first.idle);
+	EXPECT_TRUE(first.noLoadYet);
 }
 
-TEST(InitialListing, whatIsOrderedLaterIsNoReasonToWait)
+TEST(InitialListing, serversThatAreOrderedLaterAreNotWaitedFor)
 {
 	InitialListing listing;
 	Micros now = kSecond;
 	EXPECT_FALSE(listing.complete(0, now)) << "records come one after the other";
 	EXPECT_FALSE(listing.complete(2, now += kSecond));
-	EXPECT_FALSE(listing.complete(2, now += InitialListing::kSettled));
+	EXPECT_FALSE(listing.complete(2, now += InitialListing::kSettleTime));
 	EXPECT_TRUE(listing.complete(2, now += kSecond));
 	EXPECT_TRUE(listing.complete(9, now += kSecond)) << "ordered in the middle of a wave of reclaims";
 	EXPECT_EQ(listing.onDemand(), 9u);
 }
 
-TEST(CapacityPlanner, whereThereIsNoLoadYetSpotIsWaitedForAndNothingOrderedOnDemand)
+TEST(CapacityPlanner, beforeAnyLoadBootingSpotIsNotReplacedOnDemand)
 {
 	ModelPlatform platform;
 	platform.pools[{"a", false}].running = 4;
@@ -211,16 +211,16 @@
 	EXPECT_EQ(platform.count(false), 0u);
 }
 
-TEST(CapacityPlanner, whereSpotIsRefusedBeforeTheLoadComesItIsMadeUpOnDemand)
+TEST(CapacityPlanner, spotThatIsRefusedBeforeAnyLoadIsReplacedOnDemand)
 {
 	ModelPlatform platform;
-	platform.dryUntil = 60 * kSecond;
+	platform.noSpotUntil = 60 * kSecond;
 	platform.run({8, 5, true, true}, 8 * kSecond);
 	EXPECT_EQ(platform.count(true), 0u);
 	EXPECT_EQ(platform.count(false), 5u);
 }
 
-TEST(CapacityPlanner, aReclaimInADrySpellIsMadeUpOnDemandAndGivenBack)
+TEST(CapacityPlanner, aReclaimWithoutOtherSpotCapacityIsReplacedOnDemandForAWhile)
 {
 	ModelPlatform platform;
 	platform.run({8, 5, true}, 10 * kSecond);
@@ -228,7 +228,7 @@
 	platform.reclaim("a", 13 * kSecond);
 	platform.reclaim("b", 13 * kSecond);
 	platform.run({8, 5, true}, 6 * kSecond);
-	// Five are required, and of the four that stand the next reclaim would take two.
+	// Five are required, and the next reclaim would take two of the four running ones.
 	EXPECT_EQ(platform.count(true), 4u);
 	EXPECT_EQ(platform.count(false), 3u);
 	platform.run({8, 5, true}, 25 * kSecond);
@@ -236,12 +236,12 @@
 	EXPECT_EQ(platform.count(false), 0u);
 }
 
-TEST(CapacityPlanner, whatADryZoneDoesNotGiveIsOrderedAsSpotInTheOthers)
+TEST(CapacityPlanner, spotThatOneDataCentreRefusesIsOrderedInTheOthers)
 {
 	ModelPlatform platform;
 	platform.run({12, 6, true}, 10 * kSecond);
 	ASSERT_EQ(platform.count(true), 12u);
-	platform.reclaimAlone("a", 15 * kSecond);
+	platform.reclaimOneZone("a", 15 * kSecond);
 	platform.run({12, 6, true}, 6 * kSecond);
 	EXPECT_GE(platform.count(true), 12u);
 	EXPECT_EQ(platform.count(false), 0u);
@@ -251,17 +251,17 @@
 	EXPECT_LE(platform.orders - orders, 5u) << "only the dry zone is asked again";
 	platform.run({12, 6, true}, 25 * kSecond);
 	EXPECT_EQ(platform.count(true), 12u);
-	const auto placed = [&](const char* _zone)
+	const auto spotIn = [&](const char* _zone)
 	{
 		return platform.pools[{_zone, true}].running;
 	};
-	EXPECT_EQ(placed("a"), 3u);
+	EXPECT_EQ(spotIn("a"), 3u);
 }
 
-/// Two of four data centres were reclaimed within 3.5 s and gave nothing. The planner then spread the wish over all
-/// four and gave half of the 44 that stood back, of 39 wished; 1 s later the other two went as well, and 15 stood
-/// where 32 were needed.
-TEST(CapacityPlanner, nothingThatStandsIsReleasedBeforeWhatReplacesItServes)
+/// Two of four data centres are reclaimed within 3.5 s and have no spot capacity then. A planner that spreads
+/// the desired 39 over all four data centres releases half of the 44 running servers; when the other two are
+/// reclaimed 1 s later, 15 servers run where 32 are needed.
+TEST(CapacityPlanner, noRunningServerIsReleasedBeforeItsReplacementRuns)
 {
 	ModelPlatform platform;
 	platform.scaling.maximum = 56;
@@ -275,7 +275,7 @@
 		platform.step({39, 37, true});
 		EXPECT_GE(platform.count(true), 44u) << "at tick " << tick;
 	}
-	// Once all data centres give again, what is over is released, and never more than that.
+	// Once all data centres have spot capacity again, the surplus is released, and no more than that.
 	for (int tick = 0; tick < 120; ++tick)
 	{
 		platform.step({39, 37, true});
@@ -285,9 +285,10 @@
 	EXPECT_EQ(platform.count(false), 0u);
 }
 
-/// All four data centres are reclaimed within 18 s and give nothing for 14 s each. With on demand ordered once a
-/// reclaim had taken what it replaces, 22 engines stood after the third one and 15 after the fourth.
-TEST(CapacityPlanner, whatTheNextReclaimWouldTakeIsMadeUpBeforehandInADrySpell)
+/// All four data centres are reclaimed within 18 s and have no spot capacity for 14 s each. If on-demand
+/// servers are ordered only after a reclaim took the servers that they replace, 22 engines run after the third
+/// reclaim and 15 after the fourth.
+TEST(CapacityPlanner, withoutSpotCapacityTheNextReclaimIsReplacedBeforehand)
 {
 	constexpr unsigned kRequired = 37;
 	ModelPlatform platform;
@@ -322,7 +323,7 @@
 	}
 }
 
-TEST(CapacityPlanner, moreWorkNeverCallsForLess)
+TEST(CapacityPlanner, moreWorkNeverNeedsFewerServers)
 {
 	for (double work = 0.0; work < 50.0; work += 0.1)
 	{
@@ -334,7 +335,7 @@
 
 RC_GTEST_PROP(CapacityPlanner, slotsAreNeitherLeftFullNorMostlyEmpty, ())
 {
-	// Requests that hold their slots for long, beside prompts that are read and slow them down.
+	// Requests hold their slots for long, and the prefill of other prompts slows them down.
 	const double reading = *rc::gen::inRange(0, 300) / 10.0;
 	const double holding = *rc::gen::inRange(0, 300) / 10.0;
 	double running = *rc::gen::inRange(1, 40);
@@ -350,7 +351,7 @@
 	RC_ASSERT(running < 2.0 + busy + std::max(busy, 2.0 * std::sqrt(busy) + 3.0));
 }
 
-TEST(DemandMeter, countsSlotsHeldHereAndAtPeersOnce)
+TEST(DemandMeter, countsHeldSlotsOfThisGatewayAndItsPeersOnce)
 {
 	DemandMeter meter;
 	Micros now = kSecond;
@@ -360,24 +361,24 @@
 		now += 100 * kMillisecond;
 		held += 0.1;
 		meter.onReport("b", 5, {"model", held, held});
-		meter.onReport("b", 5, {"model", held, held - 0.05}); // Late.
-		meter.onArrival("model", 0.0, 0.8, 4);                // Eight slots of four at a time: two engines.
+		meter.onReport("b", 5, {"model", held, held - 0.05}); // A late report.
+		meter.onArrival("model", 0.0, 0.8, 4);                // Eight slots, four per engine: two engines.
 		meter.advance(now);
 	}
 	EXPECT_NEAR(meter.occupied("model"), 3.0, 0.2);
 }
 
-TEST(DemandMeter, countsWhatPeersBringOnceAndForgetsAPeak)
+TEST(DemandMeter, countsTheWorkOfPeersOnceAndForgetsAPeak)
 {
 	DemandMeter meter;
 	Micros now = kSecond;
-	double brought = 0.0;
+	double reportedWork = 0.0;
 	for (int tick = 0; tick < 200; ++tick)
 	{
 		now += 100 * kMillisecond;
-		brought += 0.2; // Two seconds of work a second.
-		meter.onReport("b", 5, {"model", brought, 0.0});
-		meter.onReport("b", 5, {"model", brought - 0.1, 0.0}); // Late.
+		reportedWork += 0.2; // Two seconds of work each second.
+		meter.onReport("b", 5, {"model", reportedWork, 0.0});
+		meter.onReport("b", 5, {"model", reportedWork - 0.1, 0.0}); // A late report.
 		meter.advance(now);
 	}
 	EXPECT_NEAR(meter.work("model"), 2.0, 0.2);
@@ -388,7 +389,8 @@
 		meter.advance(now);
 	}
 	EXPECT_LT(meter.work("model"), 0.2);
-	meter.onReport("b", 6, {"model", 100.0, 0.0}); // Restarted and first heard now: old work is not new work.
+	// The peer restarted and is first heard now: its old work is not new work.
+	meter.onReport("b", 6, {"model", 100.0, 0.0});
 	meter.advance(now + kSecond);
 	EXPECT_LT(meter.work("model"), 0.2);
 }
