--- a/src/coordination/contenthistory.cpp
+++ b/src/coordination/contenthistory.cpp
@@ -15,9 +15,9 @@
 	{
 		m_held.pop_front();
 	}
-	if (m_from == 0)
+	if (m_coveredSince == 0)
 	{
-		m_from = _after.revision;
+		m_coveredSince = _after.revision;
 		return;
 	}
 	for (const auto& [key, item] : _before.items)
@@ -29,14 +29,14 @@
 	}
 	while (m_removals.size() > kRemovals)
 	{
-		m_from = m_removals.front().revision;
+		m_coveredSince = m_removals.front().revision;
 		m_removals.pop_front();
 	}
 }
 
 bool ContentHistory::covers(std::uint64_t _since) const
 {
-	return m_from != 0 && _since >= m_from;
+	return m_coveredSince != 0 && _since >= m_coveredSince;
 }
 
 ContentUpdate ContentHistory::updateSince(const StoreContent& _content, std::uint64_t _since) const
--- a/tests/contenthistorytest.cpp
+++ b/tests/contenthistorytest.cpp
@@ -2,22 +2,21 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The incident "requests reached backend servers that had left, on real processes", its second cause.
+/// Tests that updates between gateways remove backend servers that the sender never saw.
 ///
-/// What users saw: requests reached backend servers up to 8 s after these had left, though nothing had failed.
+/// Guards against requests that reach backend servers up to 8 s after these have left, although nothing failed.
 ///
-/// Order of events: a gateway takes the store's content from another one, its relay, whose way to the store is
-/// slow. While the relay's content is old, the gateway reads the store itself, and finds a backend server that has
-/// just come. The server leaves before the relay reads again. The relay then tells what changed since the gateway's
-/// revision: it has never seen that server, so it has no removal to tell.
+/// How it comes about: a gateway takes the store's content from a relay whose path to the store is slow. While
+/// the relay's content is old, the gateway reads the store itself and finds a new backend server. The server
+/// leaves before the relay reads again. The relay then sends the changes since the gateway's revision, but it
+/// never held that server, so it has no removal to send. A relay that takes itself to know all removals since
+/// any revision, though it knows only those of keys that it held, leaves the record on the gateway's list for
+/// good, and each of its updates makes that list look new.
 ///
-/// Cause: a relay took it that it knows all removals since any revision, though it knows those alone of what it
-/// held itself. The record stayed on the gateway's list for good, and each word of the relay made that list look
-/// new.
-///
-/// Evidence: 48 late requests of one run of eight processes, all standing=listed by lists 140 ms to 890 ms old, at
-/// the two gateways whose log found the same server missing three and four times, in turns with its own and its
-/// relay's words; at the other gateways it went once.
+/// In one run of eight processes, 48 requests reached servers that had left, all by lists that were 140 ms to
+/// 890 ms old and named the server as listed. At the two gateways concerned, the log reported the same server
+/// missing three and four times, alternating between their own reads and the relay's updates; at the others
+/// once.
 
 #include "coordination/contenthistory.h"
 
@@ -32,8 +31,8 @@
 {
 namespace
 {
-/// A store that remembers its content at every revision.
-class RememberedStore
+/// A store that keeps its content at every revision.
+class VersionedStore
 {
 public:
 	/// Adds a key, changes it, or removes it.
@@ -75,29 +74,29 @@
 }
 } // namespace
 
-TEST(ContentHistory, anUpdateRemovesWhatItsSenderNeverSaw)
+TEST(ContentHistory, anUpdateRemovesKeysThatItsSenderNeverHeld)
 {
 	const StoreContent before{60, 0, {{"a", {"a", "v", 5}}}};
 	const StoreContent after{80, 0, {{"a", {"a", "v", 5}}}};
 	ContentHistory history;
 	history.onReplaced({}, before);
 	history.onReplaced(before, after);
-	// Added at 62, removed at 77: between two reads of the sender.
+	// Added at 62 and removed at 77, between two reads of the sender.
 	StoreContent other{66, 0, {{"a", {"a", "v", 5}}, {"b", {"b", "v", 62}}}};
 	ASSERT_TRUE(history.covers(other.revision));
 	applyUpdate(other, history.updateSince(after, other.revision));
 	EXPECT_EQ(keysOf(other), std::vector<std::string>{"a"});
 }
 
-RC_GTEST_PROP(ContentHistory, anUpdateLeadsToTheSendersContentFromEveryRevisionThatItCovers,
+RC_GTEST_PROP(ContentHistory, anUpdateGivesTheSendersContentFromEveryCoveredRevision,
 			  (const std::vector<std::uint8_t>& changes, const std::vector<std::uint8_t>& steps, std::uint8_t from))
 {
-	RememberedStore store;
+	VersionedStore store;
 	for (const std::uint8_t number : changes)
 	{
 		store.change(number);
 	}
-	// The sender reads now and then.
+	// The sender reads at irregular intervals.
 	ContentHistory history;
 	StoreContent held;
 	std::size_t at = 0;
@@ -109,10 +108,10 @@
 	}
 	const StoreContent start = store.contents()[from % (at + 1)];
 	RC_PRE(history.covers(start.revision));
-	StoreContent reached = start;
-	applyUpdate(reached, history.updateSince(held, start.revision));
-	RC_ASSERT(keysOf(reached) == keysOf(held));
-	RC_ASSERT(reached.revision == held.revision);
+	StoreContent updated = start;
+	applyUpdate(updated, history.updateSince(held, start.revision));
+	RC_ASSERT(keysOf(updated) == keysOf(held));
+	RC_ASSERT(updated.revision == held.revision);
 }
 
 } // namespace beacongate::test
