--- a/src/coordination/directory.cpp
+++ b/src/coordination/directory.cpp
@@ -47,8 +47,9 @@
 {
 	if (_snapshot.revision < m_revision)
 	{
-		// A watch was faster than this read. What is known holds all that the read found, so the read confirms it:
-		// at the holder of the duties, reads that a watch outran had left the list unconfirmed for 3.9 s.
+		// A watch delivered newer content before this read ended. That content includes all that the read
+		// found, so the read confirms it. Without this, reads overtaken by a watch left the list of the duty
+		// holder unconfirmed for 3.9 s.
 		confirm(_snapshot.confirmed);
 		confirmList(_snapshot.confirmed);
 		return false;
@@ -68,13 +69,13 @@
 {
 	if (_list.revision < m_listRevision)
 	{
-		// A read of the whole store that began earlier: it would bring records back that have gone since.
+		// An earlier read of the whole store would bring back records that were removed since.
 		confirmList(_list.confirmed);
 		return;
 	}
-	// A list may also grow old because it comes slowly; records lapse only where the store could not be reached.
-	const bool lostSince = m_listConfirmed != kLongAgo && m_storeUnreachableAt > m_listConfirmed;
-	if (lostSince && _now - m_listConfirmed > kOutageThreshold)
+	// A list may also be old because it arrived slowly; records expire only if the store was unreachable.
+	const bool unreachableSince = m_listConfirmed != kLongAgo && m_storeUnreachableAt > m_listConfirmed;
+	if (unreachableSince && _now - m_listConfirmed > kOutageThreshold)
 	{
 		m_outageEnded = _now;
 	}
@@ -120,8 +121,8 @@
 	KnownBackend& known = m_backends[_record.id];
 	if (_record.born < known.record.born)
 	{
-		// A write of an earlier incarnation that came late: the later one is as it was. One that does not tell its
-		// start is none of the server's own.
+		// A late write of an earlier incarnation does not change the later one. A record without a start time
+		// was not written by the server itself.
 		if (_record.born == 0)
 		{
 			markUnreadable(_record.id, _now);
--- a/src/coordination/directory.h
+++ b/src/coordination/directory.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a gateway believes of the store: the configuration in force, the backend servers, and how fresh that is.
+/// A gateway's view of the store: the configuration in force, the backend servers, and the age of both.
 
 #ifndef BEACONGATE_COORDINATION_DIRECTORY_H
 #define BEACONGATE_COORDINATION_DIRECTORY_H
@@ -24,21 +24,21 @@
 struct StoreSnapshot
 {
 	std::uint64_t revision = 0;
-	RoutingConfigPtr config; ///< nullptr where there is none, or it could not be read.
+	RoutingConfigPtr config; ///< nullptr if there is none, or it could not be read.
 	std::vector<BackendRecord> backends;
-	/// Steady time before which the call that read it had not been sent.
+	/// Steady time not later than the sending of the read; the content was read at or after it.
 	Micros confirmed = 0;
 	std::vector<std::string> unreadable = {}; ///< See BackendList.
 };
 
-/// The records of all backend servers at one revision, without the rest of the store.
+/// Records of all backend servers at one revision, without the rest of the store.
 struct BackendList
 {
 	std::uint64_t revision = 0;
 	std::vector<BackendRecord> records;
-	Micros confirmed = 0; ///< Steady time before which the call that read them had not been sent.
-	/// Ids whose records make no sense at present, be it that another writer wrote them: they name no server to
-	/// use.
+	Micros confirmed = 0; ///< Steady time not later than the sending of the read.
+	/// Ids whose records cannot be parsed at present, for instance because another writer wrote them. Such a
+	/// server must not be used.
 	std::vector<std::string> unreadable = {};
 };
 
@@ -46,48 +46,49 @@
 struct KnownBackend
 {
 	BackendRecord record;
-	BackendKey key;                ///< Of the record's incarnation.
-	Micros leavesAt = kNever;      ///< When it is reclaimed.
-	Micros coldUntil = 0;          ///< It is slow until then.
-	Micros vanishedAt = kNever;    ///< When its record was first found missing.
-	Micros graceUntil = 0;         ///< Until then, it is used though its record is missing, where no other is left.
-	Micros lapsedUntil = 0;        ///< Until then, a missing record is taken to have lapsed in an outage.
+	BackendKey key;             ///< Key of the record's incarnation.
+	Micros leavesAt = kNever;   ///< When it will be reclaimed.
+	Micros coldUntil = 0;       ///< It is slow after its start until then.
+	Micros vanishedAt = kNever; ///< When its record was first found missing or unreadable.
+	Micros graceUntil = 0;      ///< Until then, it is used without a record if no other backend server is left.
+	/// Until then, a missing record is assumed to have expired in an outage of the store.
+	Micros lapsedUntil = 0;
 	Micros drainingSince = kNever; ///< When it was first known to take no new work.
 	bool misdirected = false;      ///< Another server answered at its address.
 
-	/// @returns whether new work may go to it.
+	/// @returns true if new work may go to it.
 	bool usable() const
 	{
 		return !record.draining && !misdirected && vanishedAt == kNever;
 	}
 };
 
-/// How a backend server stands on the list of a gateway.
+/// State of a backend server on a gateway's list.
 enum class ListingState : std::uint8_t
 {
-	Listed,   ///< It takes work.
-	Lapsed,   ///< Its record went in an outage of the store and may come back: it takes work.
-	Vanished, ///< Its record went a moment ago: it takes work where no other does.
-	Gone,     ///< It takes no work, or is not known.
+	Listed,   ///< It has a record and takes work.
+	Lapsed,   ///< Its record expired in an outage of the store and may come back: it takes work.
+	Vanished, ///< Its record was removed recently: it takes work if no other does.
+	Gone,     ///< It takes no work, or is unknown.
 };
 
-/// @returns a short name for logs.
+/// @returns the name used in logs and metrics.
 std::string_view toString(ListingState _standing);
 
-/// From what a gateway learnt that a backend server takes no new work any more.
+/// Source from which a gateway learnt that a backend server takes no new work any more.
 enum class DepartureSource : std::uint8_t
 {
 	Record,     ///< Its record says so.
-	Missing,    ///< Its record went.
-	Unreadable, ///< Its record makes no sense any more; a good one lets it take work at once.
-	Peer,       ///< A peer said so.
-	Answer,     ///< It said so itself in an answer, be it that the store does not show it yet, or is away.
+	Missing,    ///< Its record was removed.
+	Unreadable, ///< Its record cannot be parsed any more; a valid one lets it take work again at once.
+	Peer,       ///< A peer reported it.
+	Answer,     ///< It said so in an answer, even if the store does not show it yet or is unreachable.
 };
 
-/// @returns a short name for logs.
+/// @returns the name used in logs.
 std::string_view toString(DepartureSource _sign);
 
-/// A backend server was first found to be leaving.
+/// First finding that a backend server is leaving.
 struct DepartureNotice
 {
 	BackendIdentity backend;
@@ -98,30 +99,32 @@
 class Directory
 {
 public:
-	/// A record that vanished without notice is still used for this long at most where no other is left: a leaving
-	/// server may be given work for a short while. It may have left right after the list that named it last, so
-	/// that the span that is allowed counts from there, however late its record was found missing.
+	/// Longest time for which a backend server whose record vanished without notice is used if no other is
+	/// left: a leaving server may get work for a short while. It may have left right after the last list that
+	/// named it, so the time counts from that list, however late the record is found missing.
 	static constexpr Micros kVanishedGrace = 800 * kMillisecond;
-	/// Without a snapshot for longer than this, records may have lapsed though their backend servers live.
+	/// After an outage of the store longer than this, records may have expired although their backend servers
+	/// run.
 	static constexpr Micros kOutageThreshold = 1500 * kMillisecond;
-	/// After an outage, records that lapsed are back within this span; one that is still missing is gone.
+	/// After an outage, expired records are renewed within this span; a record that is still missing then is
+	/// gone.
 	static constexpr Micros kLapsedGrace = 2 * kSecond;
 	/// A vanished record is remembered for this long.
 	static constexpr Micros kVanishedRetention = 10 * kSecond;
 
-	/// Takes in what was read.
-	/// @returns whether the configuration's version rose.
+	/// Merges a snapshot of the store.
+	/// @returns true if the version of the configuration rose.
 	bool apply(const StoreSnapshot& _snapshot, Micros _now);
 
-	/// Takes in a list that was read by itself. An older one changes nothing.
+	/// Merges a list that was read separately. An older list changes nothing.
 	void applyList(const BackendList& _list, Micros _now);
 
-	/// The present configuration was confirmed as the newest.
-	/// @param[in] confirmed Steady time at which it certainly was.
+	/// Notes that the present configuration was confirmed as the newest.
+	/// @param[in] _confirmed Steady time at which it certainly was the newest.
 	void confirm(Micros _confirmed);
 
-	/// The present snapshot was found to be still the newest.
-	/// @param[in] confirmed Steady time at which it certainly was.
+	/// Notes that the present list of backend servers was confirmed as the newest.
+	/// @param[in] _confirmed Steady time at which it certainly was the newest.
 	void confirmList(Micros _confirmed);
 
 	/// Sets the bound on requests to a server that has left.
@@ -131,23 +134,25 @@
 		m_drain = DrainBudget(_bound);
 	}
 
-	/// The store is out of reach of this gateway, as StoreReachability tells: records may lapse without their
-	/// backend servers' doing, and no newer list is to be had.
+	/// Notes that this gateway cannot reach the store, as StoreReachability found: records may expire although
+	/// their backend servers run, and no newer list is available.
 	void onStoreUnreachable(Micros _now)
 	{
 		m_storeUnreachableAt = std::max(m_storeUnreachableAt, _now);
 	}
 
-	/// A backend server answered that it is not the one that was meant. That says nothing of a later incarnation.
+	/// Notes that another server answered at the address of a backend server. This does not affect a later
+	/// incarnation.
 	void markMisdirected(const BackendIdentity& _backend);
 
-	/// An incarnation is known from elsewhere to be leaving; nothing changes where another one is listed.
+	/// Notes that another source reported an incarnation to be leaving; nothing changes if another incarnation
+	/// is listed.
 	void markDraining(const BackendIdentity& _backend, DepartureSource _sign, Micros _now);
 
-	/// @returns incarnations that were found to be leaving within a span.
+	/// @returns the incarnations that were found to be leaving at or after a moment.
 	std::vector<BackendIdentity> drainingSince(Micros _moment) const;
 
-	/// @returns what was found out about leaving backend servers since the last call, for the log.
+	/// @returns the departures found since the last call, for the log.
 	std::vector<DepartureNotice> takeDepartureNotices();
 
 	/// @returns the configuration in force, or nullptr.
@@ -156,32 +161,32 @@
 		return m_config;
 	}
 
-	/// @returns the store's revision that is known.
+	/// @returns the newest known revision of the store.
 	std::uint64_t revision() const
 	{
 		return m_revision;
 	}
 
-	/// @returns for how long the configuration has not been confirmed.
+	/// @returns the time since the configuration was last confirmed.
 	Micros age(Micros _now) const;
 
-	/// @returns for how long the list of backend servers has not been confirmed.
+	/// @returns the time since the list of backend servers was last confirmed.
 	Micros listAge(Micros _now) const
 	{
 		return _now - m_listConfirmed;
 	}
 
-	/// @returns whether the list is so old that a backend server on it may have left, though the store can be
-	/// reached: nothing may be sent by it.
+	/// @returns true if the list is so old that a backend server on it may have left although the store is
+	/// reachable: no request may be sent by it.
 	bool listOutdated(Micros _now) const
 	{
 		return listAge(_now) > m_drain.maxListAge && m_storeUnreachableAt <= m_listConfirmed;
 	}
 
-	/// @returns how an incarnation of a backend server stands on the list.
+	/// @returns the state of an incarnation of a backend server on the list.
 	ListingState listingState(const BackendIdentity& _backend, Micros _now) const;
 
-	/// @returns whether a request that was meant for a backend server may still be sent to it.
+	/// @returns true if a request that was assigned to a backend server may still be sent to it.
 	bool takesWork(const BackendIdentity& _backend, Micros _now) const;
 
 	/// @returns all backend servers by id, also those that take no new work.
@@ -190,12 +195,13 @@
 		return m_backends;
 	}
 
-	/// @returns ids of a service's backend servers that take new work.
+	/// @returns a service's backend servers that may get new work; those in state Vanished only if there are no
+	/// others.
 	std::vector<const KnownBackend*> usableOf(const std::string& _service, Micros _now) const;
 
 private:
 	static ListingState listingStateOf(const KnownBackend& _known, Micros _now);
-	/// @param[in] _lastListed When the list before this one was certainly the newest.
+	/// @param[in] _lastListed Steady time at which the previous list was certainly the newest.
 	void mergeBackends(const BackendList& _list, Micros _lastListed, Micros _now);
 	void mergeRecord(const BackendRecord& _record, Micros _now);
 	void markVanished(KnownBackend& _known, Micros _lastListed, Micros _now);
@@ -208,12 +214,13 @@
 	std::uint64_t m_revision = 0;
 	Micros m_confirmed = kLongAgo;
 	std::uint64_t m_listRevision = 0;
-	Micros m_listConfirmed = kLongAgo;      ///< When the list of backend servers was certainly the newest.
-	Micros m_storeUnreachableAt = kLongAgo; ///< When the store was found out of reach last.
+	Micros m_listConfirmed = kLongAgo;      ///< Steady time at which the list was certainly the newest.
+	Micros m_storeUnreachableAt = kLongAgo; ///< When the store was last found unreachable.
 	DrainBudget m_drain{2 * kSecond};
 	Micros m_outageEnded = kLongAgo;
 	std::map<std::string, KnownBackend> m_backends;
-	std::vector<DepartureNotice> m_departureNotices; ///< One at most for each backend server and sign until taken.
+	/// At most one for each backend server and source until taken.
+	std::vector<DepartureNotice> m_departureNotices;
 };
 
 } // namespace beacongate
--- a/src/coordination/relaychoice.cpp
+++ b/src/coordination/relaychoice.cpp
@@ -66,11 +66,11 @@
 	return count;
 }
 
-bool RelayChoice::avoided(const std::string& _host, Micros _now) const
+bool RelayChoice::isAvoided(const std::string& _host, Micros _now) const
 {
 	const auto failed = m_failed.find(_host);
-	const bool failedLately = failed != m_failed.end() && _now - failed->second <= kFailureCooldown;
-	return failedLately || m_silent.count(_host) != 0;
+	const bool failedRecently = failed != m_failed.end() && _now - failed->second <= kFailureCooldown;
+	return failedRecently || m_silent.count(_host) != 0;
 }
 
 std::optional<std::string> RelayChoice::relay(Micros _now) const
@@ -88,29 +88,29 @@
 			{
 				return std::nullopt;
 			}
-			if (!avoided(member.host, _now))
+			if (!isAvoided(member.host, _now))
 			{
 				return member.host;
 			}
 		}
 		return std::nullopt;
 	};
-	if (auto neighbour = firstBefore(own->second))
+	if (auto localRelay = firstBefore(own->second))
 	{
-		return neighbour;
+		return localRelay;
 	}
 	if (memberCount() <= kSmallFleet)
 	{
 		return std::nullopt;
 	}
-	if (m_holder && *m_holder != m_own.host && !avoided(*m_holder, _now))
+	if (m_holder && *m_holder != m_own.host && !isAvoided(*m_holder, _now))
 	{
 		return m_holder;
 	}
 	return firstBefore(m_topMembers);
 }
 
-std::vector<std::string> RelayChoice::topMembers(const std::string& _dataCentre, std::size_t _most) const
+std::vector<std::string> RelayChoice::topMembers(const std::string& _dataCentre, std::size_t _maxCount) const
 {
 	std::vector<std::string> hosts;
 	const auto ranked = m_members.find(_dataCentre);
@@ -120,7 +120,7 @@
 	}
 	for (const MemberRecord& member : ranked->second)
 	{
-		if (hosts.size() == _most)
+		if (hosts.size() == _maxCount)
 		{
 			break;
 		}
--- a/tests/contenttest.cpp
+++ b/tests/contenttest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a gateway believes of the store's content, and whom it asks for it.
+/// Tests a gateway's view of the store's content, and the choice of the gateway that it takes the content from.
 
 #include "coordination/contenthistory.h"
 #include "coordination/directory.h"
@@ -36,7 +36,7 @@
 }
 } // namespace
 
-RC_GTEST_PROP(Directory, neverGoesBackInAnyOrderOfSnapshots, (const std::vector<std::uint8_t>& order))
+RC_GTEST_PROP(Directory, keepsTheNewestConfigurationInAnyOrderOfSnapshots, (const std::vector<std::uint8_t>& order))
 {
 	Directory directory;
 	std::uint64_t newest = 0;
@@ -44,7 +44,7 @@
 	for (const std::uint8_t revision : order)
 	{
 		now += kMillisecond;
-		// The store's revision and the configuration's version rise together; a snapshot may come late.
+		// The store's revision and the configuration's version rise together; a snapshot may arrive late.
 		directory.apply({revision, configOf(revision / 3 + 1), {}, now}, now);
 		const std::uint64_t version = directory.config() ? directory.config()->version : 0;
 		RC_ASSERT(version >= newest);
@@ -52,7 +52,7 @@
 	}
 }
 
-RC_GTEST_PROP(Directory, aBackendThatDrainsNeverGetsNewWorkAgain, (const std::vector<std::uint8_t>& events))
+RC_GTEST_PROP(Directory, aDrainingBackendNeverGetsNewWorkAgain, (const std::vector<std::uint8_t>& events))
 {
 	Directory directory;
 	bool drained = false;
@@ -76,7 +76,7 @@
 	}
 }
 
-TEST(Directory, aVanishedRecordIsOnlyUsedForAShortWhileAndWhereNoOtherIsLeft)
+TEST(Directory, aVanishedRecordIsUsedBrieflyAndOnlyIfNoOtherIsLeft)
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, kSecond}, kSecond);
@@ -88,9 +88,10 @@
 	EXPECT_TRUE(directory.usableOf("model", 3 * kSecond + Directory::kVanishedGrace).empty());
 }
 
-TEST(Directory, aRecordThatLapsedAndCameBackIsUsedAgain)
+TEST(Directory, anExpiredRecordThatCameBackIsUsedAgain)
 {
-	// Records lapse while the store is down; only one that said so itself is told to peers as leaving.
+	// Records expire while the store is down; only a server that reported its departure is reported to peers as
+	// leaving.
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, 0}, kSecond);
 	directory.apply({2, configOf(1), {backendOf("b", true)}, 0}, 2 * kSecond);
@@ -100,7 +101,7 @@
 	EXPECT_EQ(directory.usableOf("model", 4 * kSecond)[0]->record.id, "a");
 }
 
-TEST(Directory, recordsThatLapsedInAnOutageAreUsedUntilTheyAreBackOrGone)
+TEST(Directory, recordsThatExpiredInAnOutageAreUsedUntilTheyAreBackOrGone)
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, kSecond}, kSecond);
@@ -108,7 +109,7 @@
 	directory.onStoreUnreachable(back - kMillisecond);
 	directory.apply({5, configOf(1), {}, back}, back);
 	EXPECT_EQ(directory.usableOf("model", back).size(), 2u);
-	// One returns first: it must not get the whole load.
+	// One record is renewed first: its server must not get the whole load.
 	directory.apply({6, configOf(1), {backendOf("a")}, back + kSecond}, back + kSecond);
 	EXPECT_EQ(directory.usableOf("model", back + kSecond).size(), 2u);
 	const auto later = directory.usableOf("model", back + Directory::kLapsedGrace);
@@ -116,7 +117,7 @@
 	EXPECT_EQ(later[0]->record.id, "a");
 }
 
-TEST(Directory, aRecordThatGoesWhileTheStoreAnswersIsNotTakenToHaveLapsed)
+TEST(Directory, aRecordRemovedWhileTheStoreAnswersDoesNotCountAsExpired)
 {
 	Directory directory;
 	Micros now = kSecond;
@@ -131,7 +132,7 @@
 	EXPECT_EQ(directory.usableOf("model", now + kSecond).size(), 1u);
 }
 
-TEST(Directory, aListThatCameSlowlyIsNoOutageWhereNoReadFailed)
+TEST(Directory, aListThatArrivedSlowlyIsNoOutageIfNoReadFailed)
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, kSecond}, kSecond);
@@ -139,14 +140,14 @@
 	directory.apply({5, configOf(1), {backendOf("b")}, late}, late);
 	ASSERT_EQ(directory.usableOf("model", late).size(), 1u);
 	EXPECT_FALSE(directory.takesWork({"a"}, late + Directory::kVanishedGrace));
-	// Nor is it one where a read failed before the list was last confirmed.
+	// Nor is it an outage if a read failed before the list was last confirmed.
 	directory.onStoreUnreachable(late + kMillisecond);
 	directory.confirmList(late + 2 * kMillisecond);
 	directory.apply({6, configOf(1), {}, 2 * late}, 2 * late);
 	EXPECT_FALSE(directory.takesWork({"b"}, 2 * late + Directory::kVanishedGrace));
 }
 
-TEST(Directory, aReadOfTheWholeStoreThatBeganEarlierBringsNoServerBack)
+TEST(Directory, anEarlierReadOfTheWholeStoreRestoresNoRemovedServer)
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b")}, kSecond}, kSecond);
@@ -160,7 +161,7 @@
 	EXPECT_EQ(directory.listAge(3 * kSecond), kSecond);
 }
 
-TEST(Directory, aReadThatNewsOutranConfirmsWhatIsKnown)
+TEST(Directory, aReadOvertakenByNewerContentConfirmsThatContent)
 {
 	Directory directory;
 	directory.apply({9, configOf(2), {backendOf("a")}, kSecond}, kSecond);
@@ -172,7 +173,7 @@
 	EXPECT_EQ(directory.age(6 * kSecond), kSecond);
 }
 
-RC_GTEST_PROP(Directory, whatTakesWorkIsWhatMayBeChosen, (const std::vector<std::uint8_t>& events))
+RC_GTEST_PROP(Directory, everyUsableBackendTakesWork, (const std::vector<std::uint8_t>& events))
 {
 	Directory directory;
 	std::uint64_t revision = 0;
@@ -202,7 +203,7 @@
 	}
 }
 
-TEST(Directory, oneThatSaidItLeavesIsNotUsedThoughItsRecordLapsed)
+TEST(Directory, aLeavingBackendIsNotUsedAfterItsRecordExpired)
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a", true), backendOf("b")}, kSecond}, kSecond);
@@ -213,7 +214,7 @@
 	EXPECT_EQ(directory.usableOf("model", back)[0]->record.id, "b");
 }
 
-TEST(Directory, tellsOnceFromWhichSignItLearntThatABackendLeaves)
+TEST(Directory, reportsEachDepartureOnceWithItsSource)
 {
 	Directory directory;
 	directory.apply({1, configOf(1), {backendOf("a"), backendOf("b"), backendOf("c")}, 0}, kSecond);
@@ -222,18 +223,18 @@
 	directory.markDraining({"a"}, DepartureSource::Peer, 2 * kSecond);
 	directory.apply({2, configOf(1), {backendOf("a", true), backendOf("b", true)}, 0}, 2 * kSecond);
 	directory.apply({3, configOf(1), {backendOf("a", true), backendOf("b", true)}, 0}, 3 * kSecond);
-	std::vector<std::pair<std::string, std::string>> told;
+	std::vector<std::pair<std::string, std::string>> notices;
 	for (const DepartureNotice& notice : directory.takeDepartureNotices())
 	{
-		told.emplace_back(notice.backend.id, toString(notice.sign));
+		notices.emplace_back(notice.backend.id, toString(notice.sign));
 	}
 	const std::vector<std::pair<std::string, std::string>> expected{
 		{"a", "peer"}, {"b", "record"}, {"c", "missing"}};
-	EXPECT_EQ(told, expected);
+	EXPECT_EQ(notices, expected);
 	EXPECT_TRUE(directory.takeDepartureNotices().empty());
 }
 
-TEST(Directory, ageCountsFromTheCallThatConfirmed)
+TEST(Directory, ageCountsFromTheSendingOfTheConfirmingRead)
 {
 	Directory directory;
 	EXPECT_GT(directory.age(kSecond), 3600 * kSecond);
@@ -243,9 +244,9 @@
 	EXPECT_EQ(directory.age(7 * kSecond), 2 * kSecond);
 }
 
-RC_GTEST_PROP(ContentHistory, aFollowerEndsWithWhatItsRelayHas, (const std::vector<std::uint8_t>& steps))
+RC_GTEST_PROP(ContentHistory, aFollowerGetsTheContentOfItsRelay, (const std::vector<std::uint8_t>& steps))
 {
-	// A store that changes, a relay that reads it now and then, a follower that asks the relay now and then.
+	// A store changes, a relay reads it at irregular intervals, and a follower requests updates from the relay.
 	StoreContent store;
 	StoreContent relay;
 	StoreContent follower;
@@ -288,7 +289,7 @@
 	}
 }
 
-TEST(ContentHistory, saysWhenItDoesNotKnowAndLeavesLargeValuesOut)
+TEST(ContentHistory, coversOnlyRememberedRevisionsAndOmitsLargeValues)
 {
 	ContentHistory history;
 	StoreContent content;
@@ -324,7 +325,7 @@
 	EXPECT_TRUE(history.covers(next.revision - 2));
 }
 
-TEST(RelayChoice, isTheFirstOfTheDataCentreThatAnswers)
+TEST(RelayChoice, choosesTheFirstMemberOfTheDataCentreThatAnswers)
 {
 	RelayChoice second({"10.0.0.2", "a"});
 	EXPECT_FALSE(second.relay(0));
@@ -340,7 +341,7 @@
 	EXPECT_EQ(third.relay(2 * kSecond + RelayChoice::kFailureCooldown), "10.0.0.1");
 }
 
-TEST(RelayChoice, oneThatWasSilentIsFollowedOnceItHasHeardTheOthersForAWhile)
+TEST(RelayChoice, aSilentMemberIsChosenAgainAfterItsWarmUp)
 {
 	RelayChoice third({"10.0.0.3", "a"});
 	third.setMembers({{"10.0.0.1", "a"}, {"10.0.0.2", "a"}, {"10.0.0.3", "a"}});
@@ -359,7 +360,7 @@
 	EXPECT_EQ(third.topMembers("a", 1), std::vector<std::string>{"10.0.0.1"});
 }
 
-TEST(RelayChoice, ranksLargeVMsFirstAndAsksTheHolderAndOtherDataCentresBeforeTheStore)
+TEST(RelayChoice, ranksLargeVMsFirstAndPrefersTheDutyHolderAndOtherDataCentresToTheStore)
 {
 	std::set<MemberRecord> members{{"10.0.0.1", "a", 12},
 								   {"10.0.0.2", "a", 50},
@@ -402,15 +403,15 @@
 	EXPECT_FALSE(unlisted.position());
 }
 
-RC_GTEST_PROP(RelayChoice, neverLeadsInACircle, (const std::vector<std::uint8_t>& shapes))
+RC_GTEST_PROP(RelayChoice, neverFormsACycle, (const std::vector<std::uint8_t>& memberSeeds))
 {
 	std::set<MemberRecord> members;
-	for (const std::uint8_t shape : shapes)
+	for (const std::uint8_t memberSeed : memberSeeds)
 	{
 		members.insert({"10.0.0." + std::to_string(members.size()),
-						std::string(1, static_cast<char>('a' + shape % 5)), shape % 3u});
+						std::string(1, static_cast<char>('a' + memberSeed % 5)), memberSeed % 3u});
 	}
-	std::map<std::string, std::string> asks;
+	std::map<std::string, std::string> relayOf;
 	for (const MemberRecord& member : members)
 	{
 		RelayChoice choice(member);
@@ -418,7 +419,7 @@
 		const auto relay = choice.relay(0);
 		if (relay)
 		{
-			asks[member.host] = *relay;
+			relayOf[member.host] = *relay;
 		}
 	}
 	const bool small = members.size() <= RelayChoice::kSmallFleet;
@@ -427,12 +428,12 @@
 	{
 		dataCentres.insert(member.dataCentre);
 	}
-	RC_ASSERT(asks.size() + (small ? dataCentres.size() : 1) == members.size());
+	RC_ASSERT(relayOf.size() + (small ? dataCentres.size() : 1) == members.size());
 	for (const MemberRecord& member : members)
 	{
 		std::string at = member.host;
 		std::size_t steps = 0;
-		for (auto next = asks.find(at); next != asks.end(); next = asks.find(at))
+		for (auto next = relayOf.find(at); next != relayOf.end(); next = relayOf.find(at))
 		{
 			at = next->second;
 			RC_ASSERT(++steps <= 3u);
