--- a/src/coordination/listreadpace.h
+++ b/src/coordination/listreadpace.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// When the list of backend servers is asked for again while earlier reads of it still wait.
+/// Decides when the list of backend servers is read again while earlier reads of it still wait.
 
 #ifndef BEACONGATE_COORDINATION_LISTREADPACE_H
 #define BEACONGATE_COORDINATION_LISTREADPACE_H
@@ -12,11 +12,11 @@
 
 namespace beacongate
 {
-/// A store that answers slowly, but does, is asked every kListReadInterval, so that the next list comes before the
-/// last one is too old. One that has said nothing yet may be down, for all gateways at once: it is asked after a
-/// quarter of the bound on departures and then after twice as long each time, which still keeps the list young
-/// enough with answers that take half of the bound. Asked every 0.25 s instead, 295 gateways made 3,600 calls more
-/// in two outages.
+/// Paces the reads of the list. A store that answers slowly is read every kListReadInterval, so that the next
+/// list arrives before the last one is too old. A store that has not answered yet may be down, for all gateways
+/// at once: it is read again after a quarter of the bound on departures and then after twice as long each time,
+/// which still keeps the list young enough if answers take half of the bound. With a read every 0.25 s instead,
+/// 295 gateways made 3,600 more calls in two outages.
 class ListReadPace
 {
 public:
@@ -24,21 +24,22 @@
 	{
 	}
 
-	/// @returns whether a read is due, if the list is needed.
+	/// @returns true if a read is due, provided that the list is needed.
 	bool due(Micros _now) const
 	{
-		return _now - m_lastBegun >= m_pause;
+		return _now - m_lastStarted >= m_pause;
 	}
 
-	/// A read was begun.
+	/// Notes that a read was started.
 	void onReadStarted(Micros _now)
 	{
-		m_lastBegun = _now;
+		m_lastStarted = _now;
 		m_pause = m_silent ? 2 * m_pause : m_firstPause;
 		m_silent = true;
 	}
 
-	/// The store said something to a read, be it that it takes none, or the list is not needed any more.
+	/// Notes that the store responded to a read, even if it rejected it, or that the list is not needed any
+	/// more.
 	void onAnswered()
 	{
 		m_silent = false;
@@ -48,8 +49,8 @@
 private:
 	Micros m_firstPause;
 	Micros m_pause = kListReadInterval;
-	Micros m_lastBegun = kLongAgo;
-	bool m_silent = false; ///< Nothing was said since a read was begun.
+	Micros m_lastStarted = kLongAgo;
+	bool m_silent = false; ///< Nothing was received since a read was started.
 };
 
 } // namespace beacongate
--- a/src/coordination/storereachability.cpp
+++ b/src/coordination/storereachability.cpp
@@ -12,10 +12,10 @@
 
 void StoreReachability::onBytesReceived(Micros _now)
 {
-	m_lastHeard = _now;
-	m_provenSilent = false;
-	m_firstTurnedAway = kLongAgo;
-	m_lastTurnedAway = kLongAgo;
+	m_lastReceived = _now;
+	m_timedOut = false;
+	m_firstRejection = kLongAgo;
+	m_lastRejection = kLongAgo;
 }
 
 void StoreReachability::onAnswered(Micros _asked, Micros _now)
@@ -28,8 +28,8 @@
 void StoreReachability::onReadRejected(Micros _asked, Micros _now)
 {
 	onEnded(_asked, _now);
-	m_firstTurnedAway = m_firstTurnedAway == kLongAgo ? _now : m_firstTurnedAway;
-	m_lastTurnedAway = _now;
+	m_firstRejection = m_firstRejection == kLongAgo ? _now : m_firstRejection;
+	m_lastRejection = _now;
 }
 
 void StoreReachability::onReadAbandoned(Micros _asked, Micros _now)
@@ -41,15 +41,15 @@
 {
 	if (!m_waiting.empty())
 	{
-		m_lastHeard = std::min(_now, silentSince() + _span);
+		m_lastReceived = std::min(_now, silentSince() + _span);
 	}
 }
 
 void StoreReachability::resetFindings()
 {
-	m_provenSilent = false;
-	m_firstTurnedAway = kLongAgo;
-	m_lastTurnedAway = kLongAgo;
+	m_timedOut = false;
+	m_firstRejection = kLongAgo;
+	m_lastRejection = kLongAgo;
 }
 
 void StoreReachability::onEnded(Micros _asked, Micros _now)
--- a/tests/departurestest.cpp
+++ b/tests/departurestest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// For how long a backend server that left may still be used, and what a gateway takes for an outage of the store.
+/// Tests for how long a backend server that left may still be used, and what counts as an outage of the store.
 
 #include "coordination/directory.h"
 #include "coordination/listreadpace.h"
@@ -19,9 +19,9 @@
 {
 namespace
 {
-constexpr Micros kDrainBound = 2 * kSecond; ///< That a directory keeps where it is told no other.
-constexpr Micros kLook = 50 * kMillisecond; ///< Between two looks at whether a read is due.
-constexpr Micros kPatience = DrainBudget(kDrainBound).storeTimeout;
+constexpr Micros kDrainBound = 2 * kSecond;          ///< Default bound of a directory.
+constexpr Micros kCheckInterval = 50 * kMillisecond; ///< Interval of the checks for a due read.
+constexpr Micros kStoreTimeout = DrainBudget(kDrainBound).storeTimeout;
 
 BackendRecord backendOf(const std::string& _id)
 {
@@ -32,9 +32,9 @@
 }
 } // namespace
 
-TEST(Departures, aVanishedServerIsUsedNoLongerThanTheLastListThatNamedItAllows)
+TEST(Departures, theUseOfAVanishedServerIsBoundedFromTheLastListThatNamedIt)
 {
-	// The server may have left right after the list was read that named it last, and it is found missing late.
+	// The server may have left right after the last list that named it, and it is found missing late.
 	const Micros found = kSecond + kDrainBound - 100 * kMillisecond;
 	Directory directory;
 	directory.applyList({1, {backendOf("a")}, kSecond}, kSecond);
@@ -43,7 +43,7 @@
 	EXPECT_TRUE(directory.usableOf("model", kSecond + kDrainBound).empty());
 }
 
-TEST(Departures, aServerThatSaidSoItselfTakesNoWorkWhateverTheListSays)
+TEST(Departures, aServerThatReportedItsDepartureTakesNoWorkWhateverTheListSays)
 {
 	Directory directory;
 	directory.applyList({1, {backendOf("a")}, kSecond}, kSecond);
@@ -53,7 +53,7 @@
 	const std::vector<DepartureNotice> notices = directory.takeDepartureNotices();
 	ASSERT_EQ(notices.size(), 1u);
 	EXPECT_EQ(notices[0].sign, DepartureSource::Answer);
-	EXPECT_EQ(directory.drainingSince(2 * kSecond).size(), 1u); // Peers are told.
+	EXPECT_EQ(directory.drainingSince(2 * kSecond).size(), 1u); // It is reported to peers.
 	BackendRecord again = backendOf("a");
 	again.born = 2;
 	directory.applyList({3, {again}, 4 * kSecond}, 4 * kSecond);
@@ -63,7 +63,7 @@
 RC_GTEST_PROP(Departures, noServerIsUsedBeyondTheBoundWhileTheStoreAnswers,
 			  (const std::vector<std::uint8_t>& spans))
 {
-	// Lists come as irregularly as they like; the server leaves right after the first one was read.
+	// Lists arrive at irregular intervals; the server leaves right after the first one was read.
 	Directory directory;
 	Micros now = kSecond;
 	std::uint64_t revision = 1;
@@ -77,49 +77,49 @@
 	}
 }
 
-TEST(StoreReachability, oneSilentReadProvesNothingBeforeThePatienceIsOver)
+TEST(StoreReachability, oneSilentReadProvesNothingBeforeTheTimeout)
 {
-	StoreReachability contact(kPatience);
+	StoreReachability contact(kStoreTimeout);
 	contact.onReadSent(kSecond);
-	EXPECT_FALSE(contact.isUnreachable(kSecond + kPatience - 1));
-	EXPECT_TRUE(contact.isUnreachable(kSecond + kPatience));
-	contact.onBytesReceived(kSecond + kPatience);
-	EXPECT_FALSE(contact.isUnreachable(kSecond + kPatience));
+	EXPECT_FALSE(contact.isUnreachable(kSecond + kStoreTimeout - 1));
+	EXPECT_TRUE(contact.isUnreachable(kSecond + kStoreTimeout));
+	contact.onBytesReceived(kSecond + kStoreTimeout);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + kStoreTimeout));
 }
 
-TEST(StoreReachability, aReadThatWasGivenUpProvesNoMoreThanItWaited)
+TEST(StoreReachability, anAbandonedReadCountsOnlyForTheTimeThatItWaited)
 {
-	// Reads that are dropped and begun anew never find out about a store that is slower than that.
-	constexpr Micros kDropped = kPatience * 3 / 4;
-	StoreReachability contact(kPatience);
+	// Reads that are abandoned and started again never detect a store that is slower than that.
+	constexpr Micros kAbandonedAfter = kStoreTimeout * 3 / 4;
+	StoreReachability contact(kStoreTimeout);
 	Micros now = kSecond;
 	for (int read = 0; read < 10; ++read)
 	{
 		contact.onReadSent(now);
-		EXPECT_FALSE(contact.isUnreachable(now + kDropped));
-		contact.onReadAbandoned(now, now + kDropped);
-		now += kDropped;
+		EXPECT_FALSE(contact.isUnreachable(now + kAbandonedAfter));
+		contact.onReadAbandoned(now, now + kAbandonedAfter);
+		now += kAbandonedAfter;
 	}
 	contact.onReadSent(now);
-	EXPECT_TRUE(contact.isUnreachable(now + kPatience));
-	contact.onReadAbandoned(now, now + kPatience);
-	EXPECT_TRUE(contact.isUnreachable(now + kPatience));
+	EXPECT_TRUE(contact.isUnreachable(now + kStoreTimeout));
+	contact.onReadAbandoned(now, now + kStoreTimeout);
+	EXPECT_TRUE(contact.isUnreachable(now + kStoreTimeout));
 }
 
-TEST(StoreReachability, aTimeOutThatFiresBeforeAnyoneLooksProvesNothing)
+TEST(StoreReachability, aTimeoutThatFiresAfterAStallProvesNothing)
 {
-	// The process was held up; its timers fire first, and the answers that have come are read after them.
-	StoreReachability contact(kPatience);
+	// The process was stalled: its timers fire before it reads the answers that have arrived.
+	StoreReachability contact(kStoreTimeout);
 	contact.onReadSent(kSecond);
-	contact.onReadAbandoned(kSecond, kSecond + 2 * kPatience);
-	EXPECT_FALSE(contact.isUnreachable(kSecond + 2 * kPatience));
-	contact.onReadSent(kSecond + 2 * kPatience);
-	EXPECT_FALSE(contact.isUnreachable(kSecond + 3 * kPatience - 1));
+	contact.onReadAbandoned(kSecond, kSecond + 2 * kStoreTimeout);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + 2 * kStoreTimeout));
+	contact.onReadSent(kSecond + 2 * kStoreTimeout);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + 3 * kStoreTimeout - 1));
 }
 
-TEST(StoreReachability, aStoreThatTurnsCallsAwayIsOutOfReachOnceItDidSoAgain)
+TEST(StoreReachability, aStoreThatRejectsReadsIsUnreachableFromTheSecondOneOn)
 {
-	StoreReachability contact(kPatience);
+	StoreReachability contact(kStoreTimeout);
 	contact.onReadSent(kSecond);
 	contact.onReadRejected(kSecond, kSecond);
 	EXPECT_FALSE(contact.isUnreachable(2 * kSecond));
@@ -132,61 +132,61 @@
 	EXPECT_FALSE(contact.isUnreachable(3 * kSecond + kMillisecond));
 }
 
-TEST(StoreReachability, timeInWhichThisProcessDidNotRunIsNoSilence)
+TEST(StoreReachability, aStallOfThisProcessIsNoSilenceOfTheStore)
 {
-	StoreReachability contact(kPatience);
+	StoreReachability contact(kStoreTimeout);
 	contact.onReadSent(kSecond);
-	const Micros woken = kSecond + 2 * kPatience;
-	contact.onProcessStalled(2 * kPatience - kMillisecond, woken);
-	EXPECT_FALSE(contact.isUnreachable(woken));
-	EXPECT_TRUE(contact.isUnreachable(woken + kPatience));
+	const Micros resumed = kSecond + 2 * kStoreTimeout;
+	contact.onProcessStalled(2 * kStoreTimeout - kMillisecond, resumed);
+	EXPECT_FALSE(contact.isUnreachable(resumed));
+	EXPECT_TRUE(contact.isUnreachable(resumed + kStoreTimeout));
 }
 
-TEST(StoreReachability, whatWasFoundLongAgoSaysNothingOnceTheListCameByAnotherWay)
+TEST(StoreReachability, findingsAreResetOnceTheListWasObtainedFromAnotherSource)
 {
-	StoreReachability contact(kPatience);
+	StoreReachability contact(kStoreTimeout);
 	contact.onReadSent(kSecond);
-	ASSERT_TRUE(contact.isUnreachable(kSecond + kPatience));
-	contact.onReadAbandoned(kSecond, kSecond + kPatience);
-	ASSERT_TRUE(contact.isUnreachable(2 * kSecond + kPatience));
-	contact.onReadSent(2 * kSecond + kPatience); // Another read waits.
+	ASSERT_TRUE(contact.isUnreachable(kSecond + kStoreTimeout));
+	contact.onReadAbandoned(kSecond, kSecond + kStoreTimeout);
+	ASSERT_TRUE(contact.isUnreachable(2 * kSecond + kStoreTimeout));
+	contact.onReadSent(2 * kSecond + kStoreTimeout); // Another read is waiting.
 	contact.resetFindings();
-	EXPECT_FALSE(contact.isUnreachable(2 * kSecond + kPatience));
+	EXPECT_FALSE(contact.isUnreachable(2 * kSecond + kStoreTimeout));
 }
 
-RC_GTEST_PROP(StoreReachability, aStoreThatAnswersWithinThePatienceIsNeverOutOfReach,
+RC_GTEST_PROP(StoreReachability, aStoreThatAnswersWithinTheTimeoutIsNeverUnreachable,
 			  (const std::vector<std::uint8_t>& latencies))
 {
-	// Reads overlap, and answers come in the order of the reads.
-	StoreReachability contact(kPatience);
-	std::deque<std::pair<Micros, Micros>> answers; ///< When they come, and when they were asked for.
+	// Reads overlap, and answers arrive in the order of the reads.
+	StoreReachability contact(kStoreTimeout);
+	std::deque<std::pair<Micros, Micros>> answers; ///< Times of arrival and of the request.
 	Micros now = kSecond;
 	Micros last = 0;
 	for (const std::uint8_t latency : latencies)
 	{
 		contact.onReadSent(now);
-		last = std::max(last, now + kPatience * latency / 256);
-		answers.emplace_back(std::min(last, now + kPatience - 1), now);
+		last = std::max(last, now + kStoreTimeout * latency / 256);
+		answers.emplace_back(std::min(last, now + kStoreTimeout - 1), now);
 		now += kListReadInterval;
 		while (!answers.empty() && answers.front().first <= now)
 		{
-			const auto [came, asked] = answers.front();
+			const auto [arrived, asked] = answers.front();
 			answers.pop_front();
-			RC_ASSERT(!contact.isUnreachable(came));
-			contact.onAnswered(asked, came);
+			RC_ASSERT(!contact.isUnreachable(arrived));
+			contact.onAnswered(asked, arrived);
 		}
 		RC_ASSERT(!contact.isUnreachable(now));
 	}
 }
 
-TEST(ListReadPace, asksASilentStoreTwiceUntilItIsOutOfReach)
+TEST(ListReadPace, readsASilentStoreTwiceUntilItIsUnreachable)
 {
 	for (const Micros bound : {2 * kSecond, 3 * kSecond, 4 * kSecond})
 	{
 		const DrainBudget budget(bound);
 		ListReadPace pace(budget);
 		unsigned reads = 0;
-		for (Micros now = kSecond; now < kSecond + budget.storeTimeout; now += kLook)
+		for (Micros now = kSecond; now < kSecond + budget.storeTimeout; now += kCheckInterval)
 		{
 			if (pace.due(now))
 			{
@@ -198,8 +198,8 @@
 	}
 }
 
-/// The store turns slow between two answers; the list must not get too old to send by.
-TEST(ListReadPace, aStoreThatTakesHalfOfTheBoundKeepsTheListYoungEnough)
+/// The store becomes slow between two answers; the list must stay young enough for sending requests by it.
+TEST(ListReadPace, answersThatTakeHalfOfTheBoundKeepTheListYoungEnough)
 {
 	for (const Micros bound : {2 * kSecond, 3 * kSecond, 4 * kSecond})
 	{
@@ -209,11 +209,12 @@
 		std::deque<Micros> asked;
 		Micros confirmed = kSecond;
 		Micros oldest = 0;
-		for (Micros now = kSecond + budget.listReadAge; now < 20 * kSecond; now += kLook)
+		for (Micros now = kSecond + budget.listReadAge; now < 20 * kSecond; now += kCheckInterval)
 		{
-			// Once the first answer of the slow store has come: until then the list may be as old as it takes.
-			const bool slowKnown = confirmed > kSecond;
-			oldest = slowKnown ? std::max(oldest, now - confirmed) : oldest;
+			// Counted from the first answer of the slow store: until then the list may be as old as the answer
+			// takes.
+			const bool slowAnswerArrived = confirmed > kSecond;
+			oldest = slowAnswerArrived ? std::max(oldest, now - confirmed) : oldest;
 			while (!asked.empty() && asked.front() + latency <= now)
 			{
 				confirmed = asked.front();
@@ -226,7 +227,7 @@
 				asked.push_back(now);
 			}
 		}
-		EXPECT_LE(oldest, budget.maxListAge + kLook) << bound;
+		EXPECT_LE(oldest, budget.maxListAge + kCheckInterval) << bound;
 	}
 }
 
