--- a/src/coordination/enginemodel.cpp
+++ b/src/coordination/enginemodel.cpp
@@ -9,10 +9,14 @@
 {
 namespace
 {
-constexpr std::size_t kEstimateEvery = 16; ///< Samples; an estimate sorts all that are kept.
-constexpr double kStartQuantile = 0.1;     ///< Of the waits of short prompts: what is waited for nothing to read.
-constexpr double kSpeedQuantile = 0.8;     ///< Of the bounds that long prompts give; a fifth may be too high.
-constexpr double kMostChange = 16.0; ///< Times the prior, either way; beyond that the samples are not believed.
+/// Samples between two estimates, since each one sorts all samples that are kept.
+constexpr std::size_t kSamplesPerEstimate = 16;
+/// Quantile of the waits of short prompts that is taken as the delay without prefill.
+constexpr double kBaseDelayQuantile = 0.1;
+/// Quantile of the bounds from long prompts; a fifth of them may be too high.
+constexpr double kSpeedQuantile = 0.8;
+/// Largest ratio of estimate and prior in either direction; samples beyond it are not trusted.
+constexpr double kMaxPriorRatio = 16.0;
 
 double quantileOf(std::vector<double> _values, double _share)
 {
@@ -46,14 +50,14 @@
 		service.next = (service.next + 1) % kSamplesKept;
 	}
 	++service.sinceEstimate;
-	if (service.samples.size() >= kSamplesNeeded && service.sinceEstimate >= kEstimateEvery)
+	if (service.samples.size() >= kSamplesNeeded && service.sinceEstimate >= kSamplesPerEstimate)
 	{
 		service.sinceEstimate = 0;
 		service.tokensPerSecond = estimate(service.samples, service.tokensPerSecond);
 	}
 }
 
-double EngineModel::estimate(const std::vector<Sample>& _samples, double _before)
+double EngineModel::estimate(const std::vector<Sample>& _samples, double _previous)
 {
 	std::vector<Sample> sorted = _samples;
 	std::sort(sorted.begin(), sorted.end(),
@@ -66,12 +70,12 @@
 		shortWaits.push_back(sorted[index].seconds);
 		shortTokens += sorted[index].tokens / static_cast<double>(quarter);
 	}
-	const double start = quantileOf(std::move(shortWaits), kStartQuantile);
+	const double baseDelay = quantileOf(std::move(shortWaits), kBaseDelayQuantile);
 	std::vector<double> bounds;
 	for (std::size_t index = sorted.size() - quarter; index < sorted.size(); ++index)
 	{
 		const double tokens = sorted[index].tokens - shortTokens;
-		const double seconds = sorted[index].seconds - start;
+		const double seconds = sorted[index].seconds - baseDelay;
 		if (tokens > 0.0 && seconds > 0.0)
 		{
 			bounds.push_back(tokens / seconds);
@@ -79,11 +83,11 @@
 	}
 	if (bounds.size() < quarter / 2 || bounds.empty())
 	{
-		// Prompts are all alike, or did not have to be read: nothing is learnt from these.
-		return _before;
+		// The prompts are of about the same length or were cached, so that these samples give no estimate.
+		return _previous;
 	}
-	return std::clamp(quantileOf(std::move(bounds), kSpeedQuantile), kPriorTokensPerSecond / kMostChange,
-					  kPriorTokensPerSecond * kMostChange);
+	return std::clamp(quantileOf(std::move(bounds), kSpeedQuantile), kPriorTokensPerSecond / kMaxPriorRatio,
+					  kPriorTokensPerSecond * kMaxPriorRatio);
 }
 
 double EngineModel::tokensPerSecond(const std::string& _service) const
--- a/src/coordination/streamlengths.cpp
+++ b/src/coordination/streamlengths.cpp
@@ -9,10 +9,11 @@
 {
 namespace
 {
-/// Steps of the logarithm of the pace for each stream. Their ratio makes it the quantile of one in eleven.
+/// Steps of the logarithm of the event interval for each stream. Their ratio makes it converge to the quantile
+/// of one in eleven.
 constexpr double kStepDown = 0.05;
 constexpr double kStepUp = 0.005;
-constexpr double kMeanWeight = 0.05; ///< Of a new stream in the mean: some twenty streams are remembered.
+constexpr double kMeanWeight = 0.05; ///< Weight of a new stream in the mean, which covers about twenty streams.
 } // namespace
 
 void StreamLengths::onStream(const std::string& _service, const std::string& _route, unsigned _events, Micros _span)
@@ -30,17 +31,17 @@
 	{
 		return;
 	}
-	const double pace = secondsOf(_span) / (_events - 1);
-	const auto known = m_paces.try_emplace(_service, pace).first;
-	known->second *= std::exp(pace < known->second ? -kStepDown : kStepUp);
+	const double eventInterval = secondsOf(_span) / (_events - 1);
+	const auto known = m_eventIntervals.try_emplace(_service, eventInterval).first;
+	known->second *= std::exp(eventInterval < known->second ? -kStepDown : kStepUp);
 }
 
 double StreamLengths::holdSeconds(const std::string& _service, const std::string& _route) const
 {
-	const auto pace = m_paces.find(_service);
+	const auto eventInterval = m_eventIntervals.find(_service);
 	const auto events = m_events.find(_route);
-	const bool known = pace != m_paces.end() && events != m_events.end();
-	return known ? pace->second * events->second : 0.0;
+	const bool known = eventInterval != m_eventIntervals.end() && events != m_events.end();
+	return known ? eventInterval->second * events->second : 0.0;
 }
 
 } // namespace beacongate
--- a/tests/enginemodeltest.cpp
+++ b/tests/enginemodeltest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What is learnt of engines, against a small model of engines in virtual time.
+/// Tests the estimates of engine speeds against a small model of engines in virtual time.
 
 #include "coordination/enginemodel.h"
 
@@ -17,9 +17,9 @@
 {
 namespace
 {
-constexpr double kStartSeconds = 0.03;
+constexpr double kBaseDelaySeconds = 0.03;
 
-/// Prompts of mixed length, read one after the other by each of a few engines.
+/// A few engines that each prefill prompts of mixed length one after the other.
 class EngineFleet
 {
 public:
@@ -33,9 +33,9 @@
 		m_speeds[_engine] = _tokensPerSecond;
 	}
 
-	/// Sends prompts at random to engines and tells a model when their first events come.
-	/// @param[in] _falseShare Part of the prompts that are found in a cache, though nobody knows it.
-	void play(EngineModel& _model, unsigned _prompts, double _falseShare, std::minstd_rand& _random)
+	/// Sends prompts to random engines and reports their first events to a model.
+	/// @param[in] _cachedShare Share of the prompts that are found in a cache without the model's knowledge.
+	void run(EngineModel& _model, unsigned _prompts, double _cachedShare, std::minstd_rand& _random)
 	{
 		std::lognormal_distribution<double> lengths(7.5, 1.2);
 		std::uniform_real_distribution<double> part(0.0, 1.0);
@@ -43,12 +43,12 @@
 		{
 			const double tokens = std::clamp(lengths(_random), 20.0, 50'000.0);
 			const std::size_t engine = _random() % m_free.size();
-			const bool cached = part(_random) < _falseShare;
-			const double reading =
+			const bool cached = part(_random) < _cachedShare;
+			const double prefill =
 				cached ? 0.001 : tokens * (1.0 + tokens / EngineModel::kQuadraticCostTokens) / m_speeds[engine];
-			const double began = std::max(m_now, m_free[engine]);
-			m_free[engine] = began + reading;
-			const double waited = m_free[engine] - m_now + kStartSeconds;
+			const double started = std::max(m_now, m_free[engine]);
+			m_free[engine] = started + prefill;
+			const double waited = m_free[engine] - m_now + kBaseDelaySeconds;
 			_model.onFirstEvent("service", static_cast<std::uint64_t>(tokens),
 								static_cast<Micros>(waited * static_cast<double>(kSecond)));
 			// The mean prompt has about 3,700 tokens.
@@ -64,7 +64,7 @@
 };
 } // namespace
 
-RC_GTEST_PROP(EngineModel, findsASpeedThatIsFourTimesThePriorEitherWay, (std::uint32_t seed))
+RC_GTEST_PROP(EngineModel, findsASpeedOfFourTimesOrAQuarterOfThePrior, (std::uint32_t seed))
 {
 	std::minstd_rand random(seed % 1'000'000 + 1);
 	for (const double factor : {0.25, 1.0, 4.0})
@@ -72,19 +72,19 @@
 		const double speed = EngineModel::kPriorTokensPerSecond * factor;
 		EngineModel model;
 		EngineFleet fleet(speed, 8, 0.5);
-		fleet.play(model, 300, 0.1, random);
+		fleet.run(model, 300, 0.1, random);
 		RC_ASSERT(model.tokensPerSecond("service") > 0.5 * speed);
 		RC_ASSERT(model.tokensPerSecond("service") < 1.5 * speed);
 	}
 }
 
-TEST(EngineModel, oneSlowEngineDoesNotMoveTheEstimateOfTheOthers)
+TEST(EngineModel, oneSlowEngineDoesNotChangeTheEstimate)
 {
 	std::minstd_rand random(3);
 	EngineModel model;
 	EngineFleet fleet(150'000.0, 8, 0.4);
 	fleet.setSpeed(5, 15'000.0);
-	fleet.play(model, 600, 0.0, random);
+	fleet.run(model, 600, 0.0, random);
 	EXPECT_GT(model.tokensPerSecond("service"), 0.7 * 150'000.0);
 	EXPECT_LT(model.tokensPerSecond("service"), 1.1 * 150'000.0);
 }
@@ -94,14 +94,14 @@
 	std::minstd_rand random(4);
 	EngineModel model;
 	EngineFleet slow(40'000.0, 8, 0.4);
-	slow.play(model, 400, 0.0, random);
+	slow.run(model, 400, 0.0, random);
 	EXPECT_NEAR(model.tokensPerSecond("service"), 40'000.0, 12'000.0);
 	EngineFleet fast(160'000.0, 8, 0.4);
-	fast.play(model, 400, 0.0, random);
+	fast.run(model, 400, 0.0, random);
 	EXPECT_NEAR(model.tokensPerSecond("service"), 160'000.0, 48'000.0);
 }
 
-TEST(EngineModel, keepsThePriorUntilEnoughWasSeenAndLearnsNothingFromPromptsThatAreAlike)
+TEST(EngineModel, keepsThePriorWithFewSamplesOrWithPromptsOfTheSameLength)
 {
 	EngineModel model;
 	EXPECT_DOUBLE_EQ(model.tokensPerSecond("service"), EngineModel::kPriorTokensPerSecond);
@@ -110,15 +110,15 @@
 		model.onFirstEvent("service", 1000 * (sample + 1), 10 * kMillisecond);
 	}
 	EXPECT_DOUBLE_EQ(model.tokensPerSecond("service"), EngineModel::kPriorTokensPerSecond);
-	EngineModel alike;
+	EngineModel similarPrompts;
 	for (unsigned sample = 0; sample < 500; ++sample)
 	{
-		alike.onFirstEvent("service", 1000, 50 * kMillisecond);
+		similarPrompts.onFirstEvent("service", 1000, 50 * kMillisecond);
 	}
-	EXPECT_DOUBLE_EQ(alike.tokensPerSecond("service"), EngineModel::kPriorTokensPerSecond);
+	EXPECT_DOUBLE_EQ(similarPrompts.tokensPerSecond("service"), EngineModel::kPriorTokensPerSecond);
 }
 
-TEST(EngineModel, passesOverWaitsAndPromptsThatCannotBe)
+TEST(EngineModel, ignoresInvalidWaitsAndPromptLengths)
 {
 	EngineModel model;
 	for (unsigned sample = 0; sample < 500; ++sample)
@@ -130,7 +130,7 @@
 	EXPECT_TRUE(model.prefillSpeeds().empty());
 }
 
-TEST(EngineModel, aLongPromptTakesMoreThanItsTokens)
+TEST(EngineModel, thePrefillTimeOfALongPromptIncludesTheQuadraticCost)
 {
 	const EngineModel model;
 	const auto pair = static_cast<std::uint64_t>(EngineModel::kQuadraticCostTokens);
--- a/tests/streamlengthstest.cpp
+++ b/tests/streamlengthstest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The load that a plan of capacity goes by, where too few engines stand.
+/// Tests the load estimate of the capacity plan where too few engines run.
 
 #include "coordination/streamlengths.h"
 #include "coordination/capacityplanner.h"
@@ -15,52 +15,53 @@
 namespace
 {
 constexpr unsigned kEvents = 40;
-constexpr Micros kPace = 30 * kMillisecond; ///< Between two events at an engine that is not crowded.
+constexpr Micros kEventInterval =
+	30 * kMillisecond; ///< Time between two events at an engine that is not overloaded.
 
-void stream(StreamLengths& _lengths, Micros _pace, int _streams)
+void addStreams(StreamLengths& _lengths, Micros _eventInterval, int _streams)
 {
 	for (int number = 0; number < _streams; ++number)
 	{
-		_lengths.onStream("model", "route", kEvents, _pace * (kEvents - 1));
+		_lengths.onStream("model", "route", kEvents, _eventInterval * (kEvents - 1));
 	}
 }
 } // namespace
 
-TEST(StreamLengths, nothingIsKnownBeforeTheFirstStream)
+TEST(StreamLengths, theHoldTimeIsUnknownBeforeTheFirstStream)
 {
 	StreamLengths lengths;
 	EXPECT_EQ(lengths.holdSeconds("model", "route"), 0.0);
-	stream(lengths, kPace, 1);
+	addStreams(lengths, kEventInterval, 1);
 	EXPECT_NEAR(lengths.holdSeconds("model", "route"), 1.2, 0.1);
 	EXPECT_EQ(lengths.holdSeconds("model", "other"), 0.0);
 }
 
-TEST(StreamLengths, aShortageHardlyMovesTheEstimateAndItFallsBackSoon)
+TEST(StreamLengths, aShortageHardlyRaisesTheEstimateAndItRecoversSoon)
 {
 	StreamLengths lengths;
-	stream(lengths, kPace, 200);
-	const double calm = lengths.holdSeconds("model", "route");
-	stream(lengths, 4 * kPace, 42); // 14 s of a gateway with three streams a second.
-	EXPECT_LT(lengths.holdSeconds("model", "route"), 1.25 * calm);
-	stream(lengths, kPace, 5);
-	EXPECT_LT(lengths.holdSeconds("model", "route"), 1.1 * calm);
+	addStreams(lengths, kEventInterval, 200);
+	const double usual = lengths.holdSeconds("model", "route");
+	addStreams(lengths, 4 * kEventInterval, 42); // 14 s of a gateway with three streams a second.
+	EXPECT_LT(lengths.holdSeconds("model", "route"), 1.25 * usual);
+	addStreams(lengths, kEventInterval, 5);
+	EXPECT_LT(lengths.holdSeconds("model", "route"), 1.1 * usual);
 }
 
-TEST(StreamLengths, manyRoutesAreBounded)
+TEST(StreamLengths, theNumberOfRoutesIsBounded)
 {
 	StreamLengths lengths;
 	for (std::size_t route = 0; route <= StreamLengths::kMaxRoutes; ++route)
 	{
-		lengths.onStream("model", std::to_string(route), kEvents, kPace * (kEvents - 1));
+		lengths.onStream("model", std::to_string(route), kEvents, kEventInterval * (kEvents - 1));
 	}
 	EXPECT_EQ(lengths.holdSeconds("model", std::to_string(StreamLengths::kMaxRoutes)), 0.0);
 	EXPECT_GT(lengths.holdSeconds("model", "0"), 0.0);
 }
 
-/// 300 streams a second with prompts of 50 ms and 1.2 s of tokens need 15 engines for reading and 30 whose slots
-/// are held. With ten standing, a load that was read off the slots that were held called for 15 engines; each boot
-/// then raised the next wish, up to 95 where some 55 were needed.
-TEST(DemandMeter, theLoadDoesNotDependOnHowManyEnginesStand)
+/// 300 streams a second with a prefill of 50 ms and 1.2 s of token generation need 15 engines for prefill and
+/// 30 whose slots are held. With ten engines running, a load derived from the held slots called for 15 engines;
+/// each boot then raised the next order, up to 95 where about 55 were needed.
+TEST(DemandMeter, theLoadDoesNotDependOnTheNumberOfRunningEngines)
 {
 	DemandMeter meter;
 	Micros now = kSecond;
