--- a/src/coordination/attemptpolicy.h
+++ b/src/coordination/attemptpolicy.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What becomes of a request after an attempt at a backend server ended without an answer for the caller.
+/// Decides what happens to a request after an attempt at a backend server ended without an answer for the
+/// caller.
 
 #ifndef BEACONGATE_COORDINATION_ATTEMPTPOLICY_H
 #define BEACONGATE_COORDINATION_ATTEMPTPOLICY_H
@@ -16,11 +17,11 @@
 /// How an attempt ended.
 enum class AttemptResult
 {
-	NotSent,     ///< No byte left this process.
-	Rejected,    ///< The backend server says that it did not run the request.
+	NotSent,     ///< No byte of the request was sent.
+	Rejected,    ///< The backend server answered that it did not run the request.
 	Misdirected, ///< Another backend server has the address; the request did not run.
-	ServerError, ///< A whole answer of the backend server that reports a failure of its own.
-	Broken,      ///< The connection ended, or the answer makes no sense.
+	ServerError, ///< A complete answer of the backend server reports an error of its own.
+	Broken,      ///< The connection ended early, or the answer is malformed.
 };
 
 /// @returns the name used in logs and metrics.
@@ -42,26 +43,26 @@
 	return "broken";
 }
 
-/// What an attempt's end has to be weighed against.
+/// State of a request that the decision after an attempt depends on.
 struct AttemptContext
 {
-	bool repeatable = false;     ///< The request may run more than once.
+	bool repeatable = false;     ///< The request is safe to run more than once.
 	bool mayHaveRun = false;     ///< An earlier attempt may have run.
 	unsigned sent = 0;           ///< Backend servers that the request was sent to.
 	unsigned maxAttempts = 1;    ///< Backend servers that it may be sent to.
-	unsigned unsentTries = 0;    ///< Tries that no byte left for.
-	bool budgetAllows = false;   ///< The shared retry budget has room.
-	bool anotherBackend = false; ///< Another backend server is there.
+	unsigned unsentTries = 0;    ///< Attempts that ended before a byte was sent.
+	bool budgetAllows = false;   ///< The shared retry budget allows a retry.
+	bool anotherBackend = false; ///< Another backend server is available.
 	bool timeLeft = false;       ///< The deadline leaves time for another attempt.
 };
 
-/// What to do next.
+/// Decision after an attempt ended.
 enum class AttemptDecision
 {
 	Retry,         ///< Send it to another backend server.
-	PassAnswer,    ///< Give the caller the backend server's own answer.
-	AnswerNotRun,  ///< Say that it did not run and never will.
-	AnswerUnknown, ///< Say that it failed and may have run.
+	PassAnswer,    ///< Forward the backend server's own answer to the caller.
+	AnswerNotRun,  ///< Answer that the request did not run and will not run.
+	AnswerUnknown, ///< Answer that the request failed and may have run.
 };
 
 /// @returns the name used in logs.
@@ -81,16 +82,17 @@
 	return "answer-unknown";
 }
 
-/// Tries for which no connection came up, before the request is given up.
+/// Attempts without a connection after which a request is given up.
 inline constexpr unsigned kMaxUnsentTries = 4;
 
-/// @returns whether the attempt may have run the request.
+/// @returns true if an attempt with this result may have run the request.
 constexpr bool mayHaveRunAfter(AttemptResult _result)
 {
 	return _result == AttemptResult::ServerError || _result == AttemptResult::Broken;
 }
 
-/// Decides after an attempt's end.
+/// Decides what to do after an attempt ended. A request that is not repeatable is sent again only if no attempt
+/// can have run it.
 constexpr AttemptDecision decideAfterAttempt(AttemptResult _result, const AttemptContext& _context)
 {
 	const bool mayHaveRun = _context.mayHaveRun || mayHaveRunAfter(_result);
--- a/src/coordination/backendkey.h
+++ b/src/coordination/backendkey.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A short name of a backend server, for messages between gateways and for look-ups.
+/// Short key of a backend server, for messages between gateways and for look-ups.
 
 #ifndef BEACONGATE_COORDINATION_BACKENDKEY_H
 #define BEACONGATE_COORDINATION_BACKENDKEY_H
@@ -18,8 +18,9 @@
 
 namespace beacongate
 {
-/// A hash of a backend server's id and start, so that loads and failures of an incarnation end with it. Two of
-/// 10,000 share one in 1 of 100 fleets; their loads are then added up.
+/// Hash of a backend server's id and start time, so that loads and failures of one incarnation are not carried
+/// over to the next. In 1 of 100 fleets of 10,000 backend servers, two share a key; their loads are then added
+/// up.
 struct BackendKey
 {
 	std::uint32_t value = 0;
@@ -38,7 +39,7 @@
 	auto operator<=>(const BackendKey&) const = default;
 };
 
-/// For hash tables: the key is a hash already.
+/// Hash function for hash tables; the key is a hash already.
 struct BackendKeyHash
 {
 	std::size_t operator()(const BackendKey& _key) const
--- a/src/coordination/cost.h
+++ b/src/coordination/cost.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Estimates of a request's size in tokens, for queueing and routing.
+/// Estimates a request's size in tokens, for queueing and routing.
 
 #ifndef BEACONGATE_COORDINATION_COST_H
 #define BEACONGATE_COORDINATION_COST_H
@@ -12,16 +12,16 @@
 
 namespace beacongate
 {
-/// Bytes of text per token; a rule of thumb, since the entry has no tokenizer.
+/// Estimated bytes of text per token; the entry has no tokenizer.
 inline constexpr std::uint64_t kBytesPerToken = 4;
 
-/// A decoded token costs as much engine time as this many prefilled ones.
+/// Engine time of a decoded token, in prefilled tokens.
 inline constexpr double kDecodeWeight = 4.0;
 
-/// Cost of a plain service's call, in tokens.
+/// Cost of a call of a plain service, in prefilled tokens.
 inline constexpr double kPlainCallCost = 64.0;
 
-/// @returns tokens in that many bytes of text, at least one.
+/// @returns the estimated tokens of a text: at least one, or 0 for an empty text.
 constexpr std::uint64_t tokensOfBytes(std::uint64_t _bytes)
 {
 	return 0 == _bytes ? 0 : std::max<std::uint64_t>(1, _bytes / kBytesPerToken);
--- a/src/coordination/dutylease.h
+++ b/src/coordination/dutylease.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Whether this gateway may act as the one holder of the duties towards the platform.
+/// Tells whether this gateway may act as the duty holder towards the platform.
 
 #ifndef BEACONGATE_COORDINATION_DUTYLEASE_H
 #define BEACONGATE_COORDINATION_DUTYLEASE_H
@@ -13,15 +13,18 @@
 
 namespace beacongate
 {
-/// A lease as its holder has to see it: counted from when the call that got it was sent.
+/// The duty lease as its holder has to count it: from when the call that acquired or renewed it was sent.
 class DutyLease
 {
 public:
-	/// A call has to leave this long before the lease can end, so that it arrives in time.
+	/// A call is sent only if the lease lasts for at least this long, so that it arrives before the lease can
+	/// end.
 	static constexpr Micros kMargin = 700 * kMillisecond;
 
-	/// The lease was taken.
-	/// @param[in] sent When the call that opened or renewed the lease was sent.
+	/// Notes that the lease was acquired.
+	/// @param[in] _fence Fencing token of the lease.
+	/// @param[in] _sent When the call that acquired or renewed the lease was sent.
+	/// @param[in] _span Duration of the lease.
 	void onAcquired(std::uint64_t _fence, Micros _sent, Micros _span)
 	{
 		m_fence = _fence;
@@ -29,7 +32,7 @@
 		m_held = true;
 	}
 
-	/// The lease was renewed.
+	/// Notes that the lease was renewed.
 	void onRenewed(Micros _sent, Micros _span)
 	{
 		if (m_held && _sent + _span > m_validUntil)
@@ -38,25 +41,25 @@
 		}
 	}
 
-	/// The lease is over, or may be.
+	/// Notes that the lease ended, or may have ended.
 	void onLost()
 	{
 		m_held = false;
 	}
 
-	/// @returns whether an order may leave now.
+	/// @returns true if an order may be sent now.
 	bool mayAct(Micros _now) const
 	{
 		return m_held && _now + kMargin < m_validUntil;
 	}
 
-	/// @returns whether the lease was taken and has not ended for sure.
+	/// @returns true if the lease was acquired and has not certainly ended.
 	bool held(Micros _now) const
 	{
 		return m_held && _now < m_validUntil;
 	}
 
-	/// @returns the fencing token: larger than that of each holder before.
+	/// @returns the fencing token; it is larger than that of each earlier holder.
 	std::uint64_t fence() const
 	{
 		return m_fence;
--- a/src/coordination/kvtypes.h
+++ b/src/coordination/kvtypes.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Items and conditional changes of a key-value service, as plain values.
+/// Plain types for the items, transactions and watches of a key-value store.
 
 #ifndef BEACONGATE_COORDINATION_KVTYPES_H
 #define BEACONGATE_COORDINATION_KVTYPES_H
@@ -16,7 +16,7 @@
 
 namespace beacongate
 {
-/// One item; a revision of 0 means that the key is not there.
+/// An item; a revision of 0 means that the key does not exist.
 struct KvItem
 {
 	std::string key;
@@ -24,46 +24,47 @@
 	std::uint64_t revision = 0;
 };
 
-/// The whole content of the store as it was last read, by key.
+/// Whole content of the store as last read, by key.
 struct StoreContent
 {
 	std::uint64_t revision = 0;
+	/// Steady time at which the content was last known to be the newest.
 	Micros confirmed = kLongAgo;
 	std::map<std::string, KvItem> items;
 };
 
-/// A page of items.
+/// A page of a range read.
 struct KvPage
 {
 	std::vector<KvItem> items;
 	bool more = false;
-	std::uint64_t revision = 0; ///< Of the store.
+	std::uint64_t revision = 0; ///< Revision of the store.
 };
 
-/// What a watch heard.
+/// Events of a watch.
 struct KvEvents
 {
-	std::vector<KvItem> items; ///< In order; a revision of 0 means that the key is gone.
+	std::vector<KvItem> items; ///< In order; a revision of 0 means that the key was removed.
 	bool historyLost = false;
-	std::uint64_t revision = 0; ///< Where the next watch goes on.
+	std::uint64_t revision = 0; ///< Revision from which the next watch continues.
 };
 
-/// A condition: the key was last changed at that revision, or is not there (0).
+/// A condition: the key was last changed at that revision, or does not exist (0).
 struct KvCondition
 {
 	std::string key;
 	std::uint64_t revision = 0;
 };
 
-/// A change of one key.
+/// Write of one key.
 struct KvPut
 {
 	std::string key;
 	std::string value;
-	std::uint64_t lease = 0; ///< 0 is none.
+	std::uint64_t lease = 0; ///< Store lease that the key is bound to; 0 is none.
 };
 
-/// All or nothing.
+/// Changes that are applied all together if all conditions hold, and not at all otherwise.
 struct KvTransaction
 {
 	std::vector<KvCondition> conditions;
@@ -71,22 +72,22 @@
 	std::vector<std::string> removes;
 };
 
-/// How a change ended.
+/// Outcome of a transaction.
 enum class KvOutcome
 {
 	Done,
-	ConditionFailed, ///< Nothing was done; the items tell why.
-	LeaseGone,       ///< Nothing was done.
-	NotDone,         ///< Turned away: nothing was done.
-	Unknown,         ///< No answer: it may have been done, or still be done later.
+	ConditionFailed, ///< Nothing was changed; the items show why.
+	LeaseGone,       ///< Nothing was changed: the lease does not exist any more.
+	NotDone,         ///< The store rejected the transaction: nothing was changed.
+	Unknown,         ///< No answer arrived: it may have been applied, or may be applied later.
 };
 
-/// The answer to a transaction.
+/// Answer to a transaction.
 struct KvResult
 {
 	KvOutcome outcome = KvOutcome::Unknown;
 	std::uint64_t revision = 0;
-	std::vector<KvItem> items; ///< The conditions' keys as they are, where a condition failed.
+	std::vector<KvItem> items; ///< Present items of the conditions' keys, if a condition failed.
 };
 
 } // namespace beacongate
--- a/src/coordination/retrybudget.h
+++ b/src/coordination/retrybudget.h
@@ -2,8 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Keeps retries to a share of the traffic, so that a failing data centre does not
-/// multiply its own load.
+/// Limits retries to a share of the traffic, so that a failing data centre does not multiply its own load.
 
 #ifndef BEACONGATE_COORDINATION_RETRYBUDGET_H
 #define BEACONGATE_COORDINATION_RETRYBUDGET_H
@@ -12,23 +11,23 @@
 
 namespace beacongate
 {
-/// Token bucket that first attempts fill and retries empty.
+/// Token bucket that first attempts fill and retries drain.
 class RetryBudget
 {
 public:
-	/// Share of first attempts that may be retried.
-	static constexpr double kShare = 0.2;
-	/// Retries that are allowed at once after a quiet time.
-	static constexpr double kBurst = 50.0;
+	/// Retries that are allowed for each first attempt.
+	static constexpr double kRetriesPerAttempt = 0.2;
+	/// Retries that are allowed in a burst after a quiet time.
+	static constexpr double kMaxBurst = 50.0;
 
 	/// Notes a first attempt.
 	void onFirstAttempt()
 	{
-		m_tokens = std::min(kBurst, m_tokens + kShare);
+		m_tokens = std::min(kMaxBurst, m_tokens + kRetriesPerAttempt);
 	}
 
 	/// Takes one retry out of the budget.
-	/// @returns whether the budget allowed it.
+	/// @returns true if the budget allowed it.
 	bool take()
 	{
 		if (m_tokens < 1.0)
@@ -40,7 +39,7 @@
 	}
 
 private:
-	double m_tokens = kBurst;
+	double m_tokens = kMaxBurst;
 };
 
 } // namespace beacongate
--- a/src/coordination/router.cpp
+++ b/src/coordination/router.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-/// Work of a request already in the batch, as prompt tokens: what it slows a prefill by.
+/// Delay that a request in the batch adds to a prefill, as prompt tokens.
 constexpr std::uint64_t kBatchTokens = 16;
 
 std::uint64_t cachedTokens(const Backend& _backend, const RouteQuery& _query)
@@ -23,8 +23,8 @@
 
 std::uint64_t outstandingTokens(const Backend& _backend)
 {
-	// The report lags and covers what other entries sent; what this entry has sent since is
-	// known exactly. The larger of the two is the better guess.
+	// The report lags but includes the requests of other entries; the requests that this entry has sent are
+	// known exactly. The larger of the two is the better estimate.
 	const std::uint64_t waiting = std::max(_backend.report.queuedTokens, _backend.prefillTokens);
 	const std::uint64_t running = std::max(_backend.report.running, _backend.active);
 	return waiting + running * kBatchTokens;
--- a/src/coordination/router.h
+++ b/src/coordination/router.h
@@ -15,7 +15,7 @@
 
 namespace beacongate
 {
-/// Ways to choose; all but ExpectedFirstToken stand for comparison in the benchmarks.
+/// Routing policies; all but ExpectedFirstToken exist for comparison in the benchmarks.
 enum class RoutePolicy
 {
 	RoundRobin,
@@ -24,7 +24,7 @@
 	ExpectedFirstToken,
 };
 
-/// What a choice is made from.
+/// Inputs of a choice.
 struct RouteQuery
 {
 	ServiceHandle service;
@@ -35,24 +35,25 @@
 	Micros now = 0;
 };
 
-/// A choice with what spoke for it.
+/// A choice and the figures that it was based on.
 struct RouterChoice
 {
 	BackendHandle backend;
 	std::uint64_t expectedTokens = 0; ///< Prompt tokens to compute before the first token.
 	std::uint64_t cachedTokens = 0;   ///< Prompt tokens expected in its cache.
-	std::uint32_t weighed = 0;        ///< Backend servers that could have taken it.
+	std::uint32_t weighed = 0;        ///< Number of backend servers that could have taken the request.
 };
 
-/// Stateless but for the round-robin position and a seeded generator.
+/// Chooses backend servers for requests. Its only state is the round-robin position and a seeded random
+/// generator.
 class Router
 {
 public:
-	/// @param[in] _seed Seed of the generator, so that a run can be repeated.
+	/// @param[in] _seed Seed of the random generator, so that a run can be reproduced.
 	Router(RoutePolicy _policy, std::uint64_t _seed);
 
 	/// Chooses among the service's backend servers that take work and have a free slot.
-	/// @returns the choice; its handle is invalid where none can take the request.
+	/// @returns the choice; its handle is invalid if no backend server can take the request.
 	RouterChoice choose(const BackendTable& _backends, const RouteQuery& _query);
 
 private:
--- a/src/coordination/stalldetector.h
+++ b/src/coordination/stalldetector.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Finds out that this process stood still.
+/// Detects stalls of this process.
 
 #ifndef BEACONGATE_COORDINATION_STALLDETECTOR_H
 #define BEACONGATE_COORDINATION_STALLDETECTOR_H
@@ -11,32 +11,32 @@
 
 namespace beacongate
 {
-/// A VM that gets no processor time runs nothing, hears nothing and notices nothing: the first sign of it is that
-/// something which is done several times a second was not done for a while. What others said or did meanwhile is
-/// not known then, and their silence says nothing of them.
+/// Detects spans in which this process got no CPU time, for instance because its VM was not scheduled. The only
+/// sign is that a call which is made several times a second was not made for a while. What other processes sent
+/// meanwhile is not known then, and their silence proves nothing.
 class StallDetector
 {
 public:
-	/// Time passes; to be called more often than once in _longest while the process runs.
-	/// @param[in] _longest The longest span without a call while the process runs.
-	/// @returns whether it stood still until now.
+	/// Notes the present time; to be called more often than once in _longest while the process runs.
+	/// @param[in] _longest Longest span between two calls while the process runs.
+	/// @returns true if the process was stalled until now.
 	bool onTick(Micros _now, Micros _longest)
 	{
 		const bool stalled = m_last != kLongAgo && _now - m_last > _longest;
 		m_last = _now;
-		m_woke = stalled ? _now : m_woke;
+		m_resumedAt = stalled ? _now : m_resumedAt;
 		return stalled;
 	}
 
-	/// @returns when the process went on after it last stood still; kLongAgo where it never did.
+	/// @returns when the process resumed after its last stall; kLongAgo if it never stalled.
 	Micros resumedAt() const
 	{
-		return m_woke;
+		return m_resumedAt;
 	}
 
 private:
 	Micros m_last = kLongAgo;
-	Micros m_woke = kLongAgo;
+	Micros m_resumedAt = kLongAgo;
 };
 
 } // namespace beacongate
--- a/src/coordination/stoppolicy.h
+++ b/src/coordination/stoppolicy.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a gateway still does after it was asked to stop.
+/// Decides what a gateway still does after it was asked to stop.
 
 #ifndef BEACONGATE_COORDINATION_STOPPOLICY_H
 #define BEACONGATE_COORDINATION_STOPPOLICY_H
@@ -13,33 +13,34 @@
 
 namespace beacongate
 {
-/// Spans count from the request to stop; the process is killed at the end of the grace.
+/// Decides by the time since the request to stop; the process is killed at the end of the grace period.
 class StopPolicy
 {
 public:
-	/// New requests are run until then: the balancer asks once a second and takes a gateway out after two misses.
+	/// New requests are accepted for this long: the load balancer probes once a second and removes a gateway
+	/// after two failed probes.
 	static constexpr Micros kAcceptSpan = 2800 * kMillisecond;
-	/// Left before the process would be killed.
+	/// Time before the kill at which running requests are aborted.
 	static constexpr Micros kKillMargin = 250 * kMillisecond;
 
 	explicit StopPolicy(Micros _grace) : m_grace(_grace)
 	{
 	}
 
-	/// @returns whether a request that arrives now is run; later ones are refused, since they might not end in
-	/// time.
+	/// @returns true if a request that arrives now is accepted; later ones are refused, since they might not
+	/// end in time.
 	bool acceptsRequests(Micros _elapsed) const
 	{
 		return _elapsed < std::min(kAcceptSpan, m_grace * 3 / 8);
 	}
 
-	/// @returns whether connections without a request are closed and new ones are turned away.
+	/// @returns true if idle connections are closed and new ones are refused.
 	bool closesIdle(Micros _elapsed) const
 	{
 		return _elapsed >= m_grace / 2;
 	}
 
-	/// @returns whether what still runs has to be cut off.
+	/// @returns true if running requests have to be aborted.
 	bool mustAbort(Micros _elapsed) const
 	{
 		return _elapsed >= m_grace - std::min(kKillMargin, m_grace / 8);
--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The gateway's other decisions: attempts, gossip, the duty lease, time and stops.
+/// Tests the gateway's other decisions: attempts, gossip, the duty lease, time and stops.
 
 #include "coordination/agreedclock.h"
 #include "coordination/attemptpolicy.h"
@@ -21,7 +21,7 @@
 
 namespace beacongate::test
 {
-RC_GTEST_PROP(GossipPlan, isBoundedAndAlwaysReachesTheHolder, ())
+RC_GTEST_PROP(GossipPlan, isBoundedAndAlwaysIncludesTheDutyHolder, ())
 {
 	const int known = *rc::gen::inRange(1, 200);
 	const int chosen = *rc::gen::inRange(0, known);
@@ -40,7 +40,7 @@
 	RC_ASSERT(GossipPlan::targets(hosts, std::nullopt, 16, random).size() == targets.size());
 }
 
-TEST(GossipPlan, sendsUsageToTheHolderEachRoundAndToAllNowAndThen)
+TEST(GossipPlan, sendsUsageToTheDutyHolderEachRoundAndToOthersPeriodically)
 {
 	EXPECT_TRUE(GossipPlan::partsFor("a", "a", true, 3).usage);
 	EXPECT_FALSE(GossipPlan::partsFor("b", "a", true, 3).usage);
@@ -51,44 +51,45 @@
 	EXPECT_TRUE(GossipPlan::partsFor("b", "a", true, GossipPlan::kFullEvery).members);
 }
 
-RC_GTEST_PROP(AttemptPolicy, keepsPromisesAndBounds, (const std::vector<std::uint8_t>& results, bool repeatable))
+RC_GTEST_PROP(AttemptPolicy, respectsRepeatabilityAndLimits,
+			  (const std::vector<std::uint8_t>& results, bool repeatable))
 {
 	AttemptContext context;
 	context.repeatable = repeatable;
 	context.maxAttempts = 1 + static_cast<unsigned>(results.size() % 3);
 	context.anotherBackend = true;
 	context.timeLeft = true;
-	unsigned ran = 0;
+	unsigned mayHaveRunCount = 0;
 	unsigned tries = 0;
-	for (const std::uint8_t drawn : results)
+	for (const std::uint8_t seed : results)
 	{
 		++tries;
-		const auto result = static_cast<AttemptResult>(drawn % 5);
-		context.budgetAllows = drawn < 200;
+		const auto result = static_cast<AttemptResult>(seed % 5);
+		context.budgetAllows = seed < 200;
 		context.sent += result == AttemptResult::NotSent ? 0 : 1;
 		context.unsentTries += result == AttemptResult::NotSent ? 1 : 0;
 		const AttemptDecision decision = decideAfterAttempt(result, context);
-		ran += mayHaveRunAfter(result) ? 1 : 0;
+		mayHaveRunCount += mayHaveRunAfter(result) ? 1 : 0;
 		context.mayHaveRun = context.mayHaveRun || mayHaveRunAfter(result);
 		RC_ASSERT(context.sent <= context.maxAttempts);
 		if (decision == AttemptDecision::AnswerNotRun)
 		{
-			RC_ASSERT(ran == 0u);
+			RC_ASSERT(mayHaveRunCount == 0u);
 		}
 		if (decision != AttemptDecision::Retry)
 		{
 			return;
 		}
-		RC_ASSERT(repeatable || ran == 0u);
+		RC_ASSERT(repeatable || mayHaveRunCount == 0u);
 		RC_ASSERT(context.sent == 0u || context.budgetAllows);
 	}
 	RC_ASSERT(tries <= context.maxAttempts + kMaxUnsentTries);
 }
 
-RC_GTEST_PROP(DutyLease, twoHoldersNeverMayActAtOnce, (const std::vector<std::uint8_t>& steps))
+RC_GTEST_PROP(DutyLease, twoHoldersNeverActAtTheSameTime, (const std::vector<std::uint8_t>& steps))
 {
-	// A lease in the store runs from when a call arrives; a holder counts from when it was sent, and may be paused
-	// between its look at the clock and its call for less than the margin.
+	// A lease in the store runs from when a call arrives; a holder counts from when it was sent, and may be
+	// stalled for less than the margin between reading the clock and sending its call.
 	constexpr Micros kSpan = 3 * kSecond;
 	DutyLease holders[2];
 	int owner = -1;
@@ -98,23 +99,23 @@
 	for (const std::uint8_t step : steps)
 	{
 		now += static_cast<Micros>(step % 16) * 100 * kMillisecond;
-		const int who = step / 16 % 2;
-		const Micros travel = static_cast<Micros>(step / 32) * 50 * kMillisecond;
+		const int caller = step / 16 % 2;
+		const Micros latency = static_cast<Micros>(step / 32) * 50 * kMillisecond;
 		const Micros sent = now;
-		now += travel;
+		now += latency;
 		if (now >= storeUntil)
 		{
 			owner = -1;
 		}
 		if (owner == -1)
 		{
-			owner = who;
-			holders[who].onAcquired(++fence, sent, kSpan);
+			owner = caller;
+			holders[caller].onAcquired(++fence, sent, kSpan);
 			storeUntil = now + kSpan;
 		}
-		else if (owner == who && holders[who].held(sent))
+		else if (owner == caller && holders[caller].held(sent))
 		{
-			holders[who].onRenewed(sent, kSpan);
+			holders[caller].onRenewed(sent, kSpan);
 			storeUntil = now + kSpan;
 		}
 		RC_ASSERT(!(holders[0].mayAct(now) && holders[1].mayAct(now)));
@@ -123,7 +124,7 @@
 	}
 }
 
-TEST(PeerTable, aMessageThatWaitedWhileThisProcessWasFrozenProvesNothing)
+TEST(PeerTable, aMessageThatWaitedDuringAStallProvesNothing)
 {
 	PeerTable peers("10.0.0.1");
 	GossipMessage message;
@@ -139,7 +140,7 @@
 	EXPECT_FALSE(peers.freshestAfter(9 * kSecond, 16 * kSecond));
 }
 
-TEST(PeerTable, aPeersWordIsAsOldAsTheStampItEchoes)
+TEST(PeerTable, aPeersReportIsAsOldAsTheTimestampThatItEchoes)
 {
 	PeerTable peers("10.0.0.1");
 	GossipMessage message;
@@ -151,7 +152,7 @@
 	EXPECT_EQ(peers.peers().at("10.0.0.2").confirmed, 10 * kSecond - 300 * kMillisecond);
 }
 
-TEST(PeerTable, countsMembersThatTheStoreListsOrThatWereHeard)
+TEST(PeerTable, countsMembersThatAreListedOrWereHeard)
 {
 	PeerTable peers("10.0.0.1");
 	peers.setSeeds({{"10.0.0.9", 1}, {"10.0.0.1", 1}});
@@ -160,10 +161,10 @@
 	EXPECT_EQ(peers.targets(kSecond), (std::vector<std::string>{"10.0.0.2", "10.0.0.9"}));
 }
 
-RC_GTEST_PROP(AgreedClock, aMinorityThatStepsMovesNothing, (const std::vector<std::int16_t>& steps))
+RC_GTEST_PROP(AgreedClock, aMinorityOfSteppingClocksChangesNothing, (const std::vector<std::int16_t>& steps))
 {
 	AgreedClock clock;
-	const Micros truth = 1000 * kSecond;
+	const Micros trueStart = 1000 * kSecond;
 	Micros now = kSecond;
 	for (const std::int16_t step : steps)
 	{
@@ -171,14 +172,14 @@
 		const Micros jump = static_cast<Micros>(step) * kMillisecond;
 		for (int peer = 0; peer < 4; ++peer)
 		{
-			clock.onSample(std::to_string(peer), truth + now + (peer < 2 ? jump : 0), now);
+			clock.onSample(std::to_string(peer), trueStart + now + (peer < 2 ? jump : 0), now);
 		}
-		clock.update(truth + now, now);
-		RC_ASSERT(clock.trueTime(now) == truth + now);
+		clock.update(trueStart + now, now);
+		RC_ASSERT(clock.trueTime(now) == trueStart + now);
 	}
 }
 
-TEST(AgreedClock, keepsWhatWasAgreedWhereFewClocksAreHeard)
+TEST(AgreedClock, keepsTheAgreedTimeIfFewClocksAreHeard)
 {
 	AgreedClock clock;
 	clock.onSample("a", 500 * kSecond, kSecond);
@@ -189,19 +190,19 @@
 	EXPECT_EQ(clock.trueTime(20 * kSecond), 519 * kSecond);
 }
 
-TEST(UsageLedger, countsOutliveTheGatewayThatMadeThem)
+TEST(UsageLedger, countsOutliveTheGatewayThatReportedThem)
 {
 	UsageLedger ledger({"a", 1});
 	ledger.onBegan(10, "team");
 	ledger.onReport({"b", 5}, {10, "team", 3});
-	ledger.onReport({"b", 5}, {10, "team", 2}); // Late: counts only grow.
-	ledger.onReport({"b", 6}, {10, "team", 1}); // A later run of the same gateway counts beside it.
+	ledger.onReport({"b", 5}, {10, "team", 2}); // A late report: counts only grow.
+	ledger.onReport({"b", 6}, {10, "team", 1}); // A later run of the same gateway is counted separately.
 	EXPECT_EQ(ledger.totals(10).at("team"), 5u);
 	ledger.advance(10 + UsageLedger::kRemembered + 1);
 	EXPECT_TRUE(ledger.totals(10).empty());
 }
 
-TEST(StopPolicy, aRequestThatMightNotEndInTimeIsNotTaken)
+TEST(StopPolicy, aRequestThatMightNotEndInTimeIsNotAccepted)
 {
 	const StopPolicy policy(8 * kSecond);
 	EXPECT_TRUE(policy.acceptsRequests(2 * kSecond));
