--- a/tests/balancertest.cpp
+++ b/tests/balancertest.cpp
@@ -88,7 +88,7 @@
 	EXPECT_TRUE(balancer.choose({&first, &second}, request, {}, kSecond).full);
 	balancer.expirePeerLoads(kSecond + 2 * kSecond);
 	const Placement later = balancer.choose({&first, &second}, request, {}, 3 * kSecond);
-	EXPECT_EQ(later.backend->record.id, "b0") << "the peer was not heard any more";
+	EXPECT_EQ(later.backend->record.id, "b0") << "the load of a silent peer still counts";
 }
 
 /// Simulates many gateways in front of engines of 12 slots with an open-loop load at half of the slots'
@@ -194,7 +194,7 @@
 	const unsigned rejected = FleetSimulation{60, 100}.run();
 	RecordProperty("turnedAway", static_cast<int>(rejected));
 	EXPECT_LT(rejected, FleetSimulation::kRequests / 20);
-	std::printf("%u of %u requests turned away\n", rejected, FleetSimulation::kRequests);
+	std::printf("%u of %u requests rejected\n", rejected, FleetSimulation::kRequests);
 }
 
 /// After a reclaim, 20 engines are left for 78 gateways, few enough that each gateway would compare all of
@@ -205,7 +205,7 @@
 	const unsigned rejected = FleetSimulation{78, 20}.run();
 	RecordProperty("turnedAway", static_cast<int>(rejected));
 	EXPECT_LT(rejected, FleetSimulation::kRequests / 10);
-	std::printf("%u of %u requests turned away\n", rejected, FleetSimulation::kRequests);
+	std::printf("%u of %u requests rejected\n", rejected, FleetSimulation::kRequests);
 }
 
 } // namespace beacongate::test
--- a/tests/capacitytest.cpp
+++ b/tests/capacitytest.cpp
@@ -144,7 +144,7 @@
 	EXPECT_EQ(platform.count(false), 0u);
 	const unsigned settled = platform.orders;
 	platform.run({6, 4, true}, 10 * kSecond);
-	EXPECT_EQ(platform.orders, settled) << "orders that stand were sent again";
+	EXPECT_EQ(platform.orders, settled) << "orders whose capacity runs were sent again";
 }
 
 TEST(CapacityPlanner, onDemandCapacityIsKeptUntilAllOfItIsListed)
@@ -169,7 +169,7 @@
 	seen.running = 30;
 	seen.listed = true;
 	const CapacityPlanner::Need unknown = CapacityPlanner::needFor(scaling, seen);
-	EXPECT_GE(unknown.desired, 30U) << "spot was cut to a tenth while its load had only begun to be counted";
+	EXPECT_GE(unknown.desired, 30U) << "spot was cut to a tenth before its load was known";
 	EXPECT_GE(unknown.required, 30U);
 	seen.settled = true;
 	const CapacityPlanner::Need known = CapacityPlanner::needFor(scaling, seen);
@@ -188,11 +188,11 @@
 {
 	InitialListing listing;
 	Micros now = kSecond;
-	EXPECT_FALSE(listing.complete(0, now)) << "records come one after the other";
+	EXPECT_FALSE(listing.complete(0, now)) << "records arrive one by one";
 	EXPECT_FALSE(listing.complete(2, now += kSecond));
 	EXPECT_FALSE(listing.complete(2, now += InitialListing::kSettleTime));
 	EXPECT_TRUE(listing.complete(2, now += kSecond));
-	EXPECT_TRUE(listing.complete(9, now += kSecond)) << "ordered in the middle of a wave of reclaims";
+	EXPECT_TRUE(listing.complete(9, now += kSecond)) << "servers ordered during reclaims are waited for";
 	EXPECT_EQ(listing.onDemand(), 9u);
 }
 
@@ -248,7 +248,7 @@
 	const unsigned orders = platform.orders;
 	platform.run({12, 6, true}, 8 * kSecond);
 	EXPECT_GE(platform.count(true), 12u);
-	EXPECT_LE(platform.orders - orders, 5u) << "only the dry zone is asked again";
+	EXPECT_LE(platform.orders - orders, 5u) << "only the data centre without spot capacity is asked again";
 	platform.run({12, 6, true}, 25 * kSecond);
 	EXPECT_EQ(platform.count(true), 12u);
 	const auto spotIn = [&](const char* _zone)
--- a/tests/contenttest.cpp
+++ b/tests/contenttest.cpp
@@ -298,7 +298,7 @@
 	content.items["large"] = {"large", std::string(ContentHistory::kValueBytes + 1, 'x'), 9};
 	history.onReplaced({}, content);
 	EXPECT_FALSE(history.covers(9));
-	EXPECT_TRUE(history.covers(11)) << "one that knows more is told so, and not that the relay failed";
+	EXPECT_TRUE(history.covers(11)) << "a follower with newer content gets an empty update, not an error";
 	const ContentUpdate nothing = history.updateSince(content, 11);
 	EXPECT_EQ(nothing.revision, 10u);
 	EXPECT_TRUE(nothing.items.empty() && nothing.leftOut.empty() && nothing.removed.empty());
@@ -330,7 +330,7 @@
 	RelayChoice second({"10.0.0.2", "a"});
 	EXPECT_FALSE(second.relay(0));
 	second.setMembers({{"10.0.0.5", "b"}, {"10.0.0.2", "a"}, {"10.0.0.3", "a"}});
-	EXPECT_FALSE(second.relay(0)) << "only members before it in order";
+	EXPECT_FALSE(second.relay(0)) << "a member follows only members that rank before it";
 	RelayChoice third({"10.0.0.3", "a"});
 	third.setMembers({{"10.0.0.1", "a"}, {"10.0.0.2", "a"}, {"10.0.0.3", "a"}});
 	EXPECT_EQ(third.relay(0), "10.0.0.1");
@@ -369,7 +369,7 @@
 								   {"10.1.0.3", "b", 12}};
 	RelayChoice ofFew({"10.1.0.2", "b", 50});
 	ofFew.setMembers(members);
-	EXPECT_FALSE(ofFew.relay(0)) << "in a small fleet each data centre has a reader";
+	EXPECT_FALSE(ofFew.relay(0)) << "in a small fleet each data centre has a member that reads the store";
 	for (unsigned number = 10; members.size() <= RelayChoice::kSmallFleet; ++number)
 	{
 		members.insert({"10.1.0." + std::to_string(number), "b", 1});
@@ -379,18 +379,18 @@
 	EXPECT_EQ(small.relay(0), "10.0.0.2") << "the larger VM of the data centre";
 	RelayChoice first({"10.1.0.2", "b", 50});
 	first.setMembers(members);
-	EXPECT_EQ(first.relay(0), "10.0.0.2") << "a first member of another data centre that ranks before";
+	EXPECT_EQ(first.relay(0), "10.0.0.2") << "a top member of another data centre that ranks before it";
 	first.setDutyHolder("10.1.0.3");
-	EXPECT_EQ(first.relay(0), "10.1.0.3") << "the holder reads the store in any case";
+	EXPECT_EQ(first.relay(0), "10.1.0.3") << "the duty holder reads the store in any case";
 	first.onFailed("10.1.0.3", 0);
 	EXPECT_EQ(first.relay(0), "10.0.0.2");
 	first.onFailed("10.0.0.2", 0);
-	EXPECT_FALSE(first.relay(0)) << "nobody ranks before it any more";
+	EXPECT_FALSE(first.relay(0)) << "no usable member ranks before it";
 	EXPECT_EQ(first.topMembers("b", 2), (std::vector<std::string>{"10.1.0.2", "10.1.0.1"}));
 	first.onSilent("10.1.0.1");
 	EXPECT_EQ(first.topMembers("b", 2), (std::vector<std::string>{"10.1.0.2", "10.1.0.3"}));
 	first.onFailed("10.1.0.3", 0);
-	EXPECT_EQ(first.topMembers("b", 2).back(), "10.1.0.3") << "old content says nothing of a collector";
+	EXPECT_EQ(first.topMembers("b", 2).back(), "10.1.0.3") << "old content does not exclude a collector";
 	EXPECT_EQ(first.silentTopMembers("b"), (std::vector<std::string>{"10.1.0.1"}));
 	first.onHeard("10.1.0.1", 0);
 	first.onHeard("10.1.0.1", RelayChoice::kWarmUp);
