--- a/src/coordination/directory.cpp
+++ b/src/coordination/directory.cpp
@@ -9,9 +9,9 @@
 
 namespace beacongate
 {
-std::string_view toString(DepartureSource _sign)
+std::string_view toString(DepartureSource _source)
 {
-	switch (_sign)
+	switch (_source)
 	{
 	case DepartureSource::Record:
 		return "record";
@@ -202,14 +202,14 @@
 	}
 }
 
-void Directory::markDraining(const BackendIdentity& _backend, DepartureSource _sign, Micros _now)
+void Directory::markDraining(const BackendIdentity& _backend, DepartureSource _source, Micros _now)
 {
 	KnownBackend* known = find(_backend);
 	if (known && !known->record.draining)
 	{
 		known->record.draining = true;
 		known->drainingSince = _now;
-		m_departureNotices.push_back({_backend, _sign});
+		m_departureNotices.push_back({_backend, _source});
 	}
 }
 
--- a/src/coordination/directory.h
+++ b/src/coordination/directory.h
@@ -86,13 +86,13 @@
 };
 
 /// @returns the name used in logs.
-std::string_view toString(DepartureSource _sign);
+std::string_view toString(DepartureSource _source);
 
 /// First finding that a backend server is leaving.
 struct DepartureNotice
 {
 	BackendIdentity backend;
-	DepartureSource sign = DepartureSource::Record;
+	DepartureSource source = DepartureSource::Record;
 };
 
 /// Merges snapshots so that nothing older ever replaces something newer.
@@ -147,7 +147,7 @@
 
 	/// Notes that another source reported an incarnation to be leaving; nothing changes if another incarnation
 	/// is listed.
-	void markDraining(const BackendIdentity& _backend, DepartureSource _sign, Micros _now);
+	void markDraining(const BackendIdentity& _backend, DepartureSource _source, Micros _now);
 
 	/// @returns the incarnations that were found to be leaving at or after a moment.
 	std::vector<BackendIdentity> drainingSince(Micros _moment) const;
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -173,7 +173,7 @@
 	{
 		logEvent(LogLevel::Info, "backend-leaving",
 				 {{"backend", notice.backend.id},
-				  {"sign", std::string(toString(notice.sign))},
+				  {"sign", std::string(toString(notice.source))},
 				  {"revision", std::to_string(m_context.directory.revision())},
 				  {"list_age_ms", millisText(m_context.directory.listAge(monotonicNow()))},
 				  {"in_flight", std::to_string(m_context.balancer.totalInFlight(BackendKey(notice.backend)))}});
--- a/tests/contenttest.cpp
+++ b/tests/contenttest.cpp
@@ -226,7 +226,7 @@
 	std::vector<std::pair<std::string, std::string>> notices;
 	for (const DepartureNotice& notice : directory.takeDepartureNotices())
 	{
-		notices.emplace_back(notice.backend.id, toString(notice.sign));
+		notices.emplace_back(notice.backend.id, toString(notice.source));
 	}
 	const std::vector<std::pair<std::string, std::string>> expected{
 		{"a", "peer"}, {"b", "record"}, {"c", "missing"}};
--- a/tests/departurestest.cpp
+++ b/tests/departurestest.cpp
@@ -52,7 +52,7 @@
 	EXPECT_FALSE(directory.takesWork({"a"}, 3 * kSecond));
 	const std::vector<DepartureNotice> notices = directory.takeDepartureNotices();
 	ASSERT_EQ(notices.size(), 1u);
-	EXPECT_EQ(notices[0].sign, DepartureSource::Answer);
+	EXPECT_EQ(notices[0].source, DepartureSource::Answer);
 	EXPECT_EQ(directory.drainingSince(2 * kSecond).size(), 1u); // It is reported to peers.
 	BackendRecord again = backendOf("a");
 	again.born = 2;
