--- a/src/gateway/bodycache.h
+++ b/src/gateway/bodycache.h
@@ -21,7 +21,7 @@
 {
 public:
 	/// Bodies kept at most; when there would be more, all are made anew.
-	static constexpr std::size_t kMostBodies = 16;
+	static constexpr std::size_t kMaxBodies = 16;
 
 	/// @param[in] _since Revision from which the body leads; 0 for the whole content.
 	/// @param[in] _make Encodes the body where it is not kept.
@@ -38,7 +38,7 @@
 		{
 			return known->second;
 		}
-		if (m_bodies.size() >= kMostBodies)
+		if (m_bodies.size() >= kMaxBodies)
 		{
 			m_bodies.clear();
 		}
--- a/tests/compressiontest.cpp
+++ b/tests/compressiontest.cpp
@@ -93,7 +93,7 @@
 	}
 	EXPECT_EQ(cache.body(6, 9, make), "2");
 	EXPECT_EQ(cache.body(5, 10, make), "3");
-	for (std::uint64_t since = 100; since < 100 + BodyCache::kMostBodies - 1; ++since)
+	for (std::uint64_t since = 100; since < 100 + BodyCache::kMaxBodies - 1; ++since)
 	{
 		cache.body(since, 10, make);
 	}
