--- a/src/gateway/dispatcher.cpp
+++ b/src/gateway/dispatcher.cpp
@@ -10,7 +10,8 @@
 {
 namespace
 {
-constexpr Micros kWakeDelay = 10 * kMillisecond; ///< Calls that come together are answered by one round.
+/// Calls of wake() within this time share one pass over the queue.
+constexpr Micros kWakeDelay = 10 * kMillisecond;
 } // namespace
 
 Dispatcher::Dispatcher(GatewayContext& _context) : m_context(_context), m_timer(_context.loop)
@@ -19,13 +20,13 @@
 
 void Dispatcher::enqueue(ExchangePtr _exchange)
 {
-	const auto later = [&](const ExchangePtr& _other)
+	const auto isBehind = [&](const ExchangePtr& _other)
 	{
 		return _other->priority() > _exchange->priority() ||
 			   (_other->priority() == _exchange->priority() && _other->received() > _exchange->received());
 	};
-	const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), later);
-	m_waiting.insert(place, std::move(_exchange));
+	const auto position = std::find_if(m_waiting.begin(), m_waiting.end(), isBehind);
+	m_waiting.insert(position, std::move(_exchange));
 	wake();
 }
 
@@ -48,12 +49,12 @@
 			m_wakePending = false;
 			if (!_error)
 			{
-				tryAll();
+				dispatchAll();
 			}
 		});
 }
 
-void Dispatcher::tryAll()
+void Dispatcher::dispatchAll()
 {
 	const std::vector<ExchangePtr> waiting = m_waiting;
 	for (const ExchangePtr& exchange : waiting)
--- a/src/gateway/dispatcher.h
+++ b/src/gateway/dispatcher.h
@@ -16,29 +16,29 @@
 
 namespace beacongate
 {
-/// Holds requests for which no backend server has room, the most urgent first.
+/// Holds requests for which no backend server has room, ordered by priority and arrival.
 class Dispatcher
 {
 public:
 	explicit Dispatcher(GatewayContext& _context);
 
-	/// Keeps a request until room is found.
+	/// Queues a request until a backend server has room for it.
 	void enqueue(ExchangePtr _exchange);
 
-	/// Forgets a request.
+	/// Removes a request from the queue.
 	void remove(const Exchange* _exchange);
 
-	/// Tries the requests that wait; done soon, once for many calls.
+	/// Schedules one attempt to dispatch the queued requests; several calls are merged.
 	void wake();
 
-	/// @returns requests that wait.
+	/// @returns the number of queued requests.
 	std::size_t waiting() const
 	{
 		return m_waiting.size();
 	}
 
 private:
-	void tryAll();
+	void dispatchAll();
 
 	GatewayContext& m_context;
 	std::vector<ExchangePtr> m_waiting;
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -13,21 +13,24 @@
 {
 namespace
 {
-constexpr Micros kTick = 250 * kMillisecond;
+constexpr Micros kTickInterval = 250 * kMillisecond;
 constexpr Micros kRenewInterval = 600 * kMillisecond;
 constexpr Micros kStoreTimeout = 700 * kMillisecond;
 constexpr Micros kDutyTimeout = 1 * kSecond;
-constexpr Micros kSettle = 1200 * kMillisecond; ///< After a window's end, for counts still on their way.
-constexpr Micros kLapseSpan = 2 * kSecond;      ///< A record that vanished is counted for this long.
-constexpr Micros kKnownSpan = 2 * kSecond;      ///< Within which the store was read, before the duties are taken.
-constexpr Micros kKeepInterval = 350 * kMillisecond; ///< Between two writes of all counts.
-/// Between two members' tries to take duties that nobody holds, by rank: one try is three calls to the store.
-constexpr Micros kCompeteStep = 100 * kMillisecond;
-constexpr Micros kCompeteUnlisted = 3 * kSecond; ///< A gateway that is not listed yet waits this long.
-constexpr double kMostSilent = 0.5;              ///< Of the gateways; a judgement.
+/// After a window's end: time for counts that are still in transit.
+constexpr Micros kCountsSettleTime = 1200 * kMillisecond;
+/// A backend server is counted for this long after its record vanished.
+constexpr Micros kVanishedRecordSpan = 2 * kSecond;
+/// The content must be confirmed within this span before the duties are taken.
+constexpr Micros kMaxContentAge = 2 * kSecond;
+constexpr Micros kCountsWriteInterval = 350 * kMillisecond; ///< Time between two writes of all counts.
+/// Delay per rank before a member tries to take vacant duties: one try is three calls to the store.
+constexpr Micros kAcquireDelayPerRank = 100 * kMillisecond;
+constexpr Micros kUnregisteredAcquireDelay = 3 * kSecond; ///< Delay of a gateway that is not registered yet.
+constexpr double kMaxSilentShare = 0.5; ///< Largest share of silent gateways at which the load counts as known.
 constexpr std::uint64_t kWindowsBack = 3;
 constexpr std::uint64_t kWindowsKept = 8;
-constexpr std::size_t kAnswerBytes = 1u << 20;
+constexpr std::size_t kMaxAnswerBytes = 1u << 20;
 
 std::uint64_t readFence(const std::string& _text)
 {
@@ -38,10 +41,10 @@
 
 DutyHolder::DutyHolder(GatewayContext& _context)
 	: m_context(_context),
-	  m_leaseChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, kAnswerBytes)),
-	  m_storeChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, kAnswerBytes)),
-	  m_countsChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, kAnswerBytes)),
-	  m_dutyChannel(std::make_shared<HttpChannel>(_context.loop, *_context.settings.dutyApi, kAnswerBytes)),
+	  m_leaseChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, kMaxAnswerBytes)),
+	  m_storeChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, kMaxAnswerBytes)),
+	  m_countsChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, kMaxAnswerBytes)),
+	  m_dutyChannel(std::make_shared<HttpChannel>(_context.loop, *_context.settings.dutyApi, kMaxAnswerBytes)),
 	  m_timer(_context.loop)
 {
 }
@@ -68,7 +71,7 @@
 
 void DutyHolder::schedule()
 {
-	m_timer.expires_after(std::chrono::microseconds(m_context.jittered(kTick)));
+	m_timer.expires_after(std::chrono::microseconds(m_context.jittered(kTickInterval)));
 	m_timer.async_wait(
 		[self = shared_from_this()](const boost::system::error_code& _error)
 		{
@@ -96,16 +99,16 @@
 	}
 	if (m_leaseId == 0)
 	{
-		compete();
+		tryAcquire();
 		return;
 	}
-	if (now - m_renewed >= kRenewInterval)
+	if (now - m_renewedAt >= kRenewInterval)
 	{
 		renew();
 	}
-	if (m_context.settings.reportsUsage && tookOver(now))
+	if (m_context.settings.reportsUsage && knowsPredecessorState(now))
 	{
-		keepCounts(now);
+		storeCounts(now);
 		reportUsage(now);
 	}
 	if (m_context.settings.ordersCapacity)
@@ -120,27 +123,28 @@
 	return it == m_context.content.items.end() ? 0 : it->second.revision;
 }
 
-void DutyHolder::compete()
+void DutyHolder::tryAcquire()
 {
 	const bool taken = revisionOf(kHolderKey) != 0;
 	const Micros sent = monotonicNow();
-	const bool known = m_context.content.confirmed + kKnownSpan > sent;
+	const bool contentFresh = m_context.content.confirmed + kMaxContentAge > sent;
 	if (taken)
 	{
 		m_vacantSince = kNever;
 	}
-	if (m_competing || taken || !known)
+	if (m_acquiring || taken || !contentFresh)
 	{
 		return;
 	}
 	m_vacantSince = std::min(m_vacantSince, sent);
 	const std::optional<std::size_t> position = m_context.relays.position();
-	const Micros turn = position ? kCompeteStep * static_cast<Micros>(*position) : kCompeteUnlisted;
-	if (sent - m_vacantSince < turn)
+	const Micros delay =
+		position ? kAcquireDelayPerRank * static_cast<Micros>(*position) : kUnregisteredAcquireDelay;
+	if (sent - m_vacantSince < delay)
 	{
 		return;
 	}
-	m_competing = true;
+	m_acquiring = true;
 	const Micros span = std::max(m_context.settings.leaseSpan, m_context.settings.leaseMinimum);
 	m_leaseChannel->call(platform::leaseCall(span), kStoreTimeout,
 						 [self = shared_from_this(), sent](const std::optional<HttpAnswer>& _answer)
@@ -148,14 +152,14 @@
 							 const auto lease = platform::readLease(_answer);
 							 if (!lease)
 							 {
-								 self->m_competing = false;
+								 self->m_acquiring = false;
 								 return;
 							 }
-							 self->take(lease->id, lease->span, sent);
+							 self->writeHolder(lease->id, lease->span, sent);
 						 });
 }
 
-void DutyHolder::take(std::uint64_t _lease, Micros _span, Micros _sent)
+void DutyHolder::writeHolder(std::uint64_t _lease, Micros _span, Micros _sent)
 {
 	const auto fenceItem = m_context.content.items.find(kFenceKey);
 	const std::uint64_t before =
@@ -169,16 +173,16 @@
 		platform::transactionCall(change), kStoreTimeout,
 		[self = shared_from_this(), _lease, _span, _sent, fence](const std::optional<HttpAnswer>& _answer)
 		{
-			self->m_competing = false;
+			self->m_acquiring = false;
 			const KvResult result = platform::readTransaction(_answer);
 			if (result.outcome != KvOutcome::Done)
 			{
-				// Where it may have been done, nobody acts until that lease has run out.
+				// If the transaction may have been applied, no gateway acts until that lease has expired.
 				return;
 			}
 			self->m_leaseId = _lease;
-			self->m_renewed = _sent;
-			self->m_taken = monotonicNow();
+			self->m_renewedAt = _sent;
+			self->m_acquiredAt = monotonicNow();
 			self->m_lease.onAcquired(fence, _sent, _span);
 			logEvent(LogLevel::Info, "duty-taken", {{"fence", std::to_string(fence)}});
 		});
@@ -208,17 +212,17 @@
 			}
 			else if (renewal.renewed)
 			{
-				self->m_renewed = sent;
+				self->m_renewedAt = sent;
 				self->m_lease.onRenewed(sent, renewal.span);
 			}
 		});
 }
 
-bool DutyHolder::tookOver(Micros _now) const
+bool DutyHolder::knowsPredecessorState(Micros _now) const
 {
-	// The kept counts are large, so that a relay leaves them out: a read of the store itself has to follow, and the
-	// other gateways have to hear who holds the duties now.
-	return m_context.content.confirmed > m_taken && _now - m_taken > kSettle;
+	// Stored counts are too large for a relay's updates, so this holder must read the store itself. The other
+	// gateways must also learn who holds the duties now.
+	return m_context.content.confirmed > m_acquiredAt && _now - m_acquiredAt > kCountsSettleTime;
 }
 
 void DutyHolder::reportUsage(Micros _now)
@@ -228,60 +232,60 @@
 		return;
 	}
 	const std::uint64_t current = m_context.currentWindow(_now);
-	std::erase_if(m_reported, [current](std::uint64_t _window) { return _window + kWindowsKept < current; });
+	std::erase_if(m_reportedWindows, [current](std::uint64_t _window) { return _window + kWindowsKept < current; });
 	for (std::uint64_t window = current - kWindowsBack; window < current; ++window)
 	{
 		const Micros windowEnd = static_cast<Micros>(window + 1) * m_context.settings.usageWindow;
-		const bool settled = m_context.clock.trueTime(_now) >= windowEnd + kSettle;
-		if (!settled || m_reported.count(window) || m_inWork.count(window))
+		const bool settled = m_context.clock.trueTime(_now) >= windowEnd + kCountsSettleTime;
+		if (!settled || m_reportedWindows.count(window) || m_pendingWindows.count(window))
 		{
 			continue;
 		}
-		const auto fixed = m_context.content.items.find(usageKey(window));
-		if (fixed != m_context.content.items.end())
+		const auto stored = m_context.content.items.find(usageKey(window));
+		if (stored != m_context.content.items.end())
 		{
-			sendWindow(window, decodeTotals(fixed->second.value));
+			sendWindow(window, decodeTotals(stored->second.value));
 		}
 		else
 		{
-			fixWindow(window);
+			finalizeWindow(window);
 		}
 		return;
 	}
 }
 
-void DutyHolder::keepCounts(Micros _now)
+void DutyHolder::storeCounts(Micros _now)
 {
-	if (m_keepingCounts || _now - m_countsKept < kKeepInterval || !m_lease.mayAct(_now))
+	if (m_storingCounts || _now - m_countsStoredAt < kCountsWriteInterval || !m_lease.mayAct(_now))
 	{
 		return;
 	}
 	const std::uint64_t current = m_context.currentWindow(_now);
 	std::string text = encodeRunCounts(
 		m_context.usage.allCounts(current - std::min<std::uint64_t>(current, 1), m_context.usesCollectors()));
-	if (text == m_keptCounts)
+	if (text == m_storedCounts)
 	{
 		return;
 	}
-	m_keepingCounts = true;
-	m_countsKept = _now;
+	m_storingCounts = true;
+	m_countsStoredAt = _now;
 	KvTransaction change;
-	// Counts only grow and are merged by the larger, so a put that is done late does no harm. Levels are a hint for
-	// gateways that start.
+	// Counts only grow and are merged by maximum, so a delayed put does no harm. Levels are a hint for gateways
+	// that start.
 	change.puts = {{kCountsKey, text, 0}, {kLevelsKey, encodeTotals(m_context.quotas.levels(_now)), 0}};
 	m_countsChannel->call(
 		platform::transactionCall(change), kStoreTimeout,
 		[self = shared_from_this(), text = std::move(text)](const std::optional<HttpAnswer>& _answer)
 		{
-			self->m_keepingCounts = false;
+			self->m_storingCounts = false;
 			if (platform::readTransaction(_answer).outcome == KvOutcome::Done)
 			{
-				self->m_keptCounts = text;
+				self->m_storedCounts = text;
 			}
 		});
 }
 
-void DutyHolder::fixWindow(std::uint64_t _window)
+void DutyHolder::finalizeWindow(std::uint64_t _window)
 {
 	std::map<std::string, std::uint64_t> counts = m_context.usage.totals(_window, m_context.usesCollectors());
 	if (m_context.directory.config())
@@ -302,11 +306,11 @@
 			change.removes.push_back(key);
 		}
 	}
-	m_inWork.insert(_window);
+	m_pendingWindows.insert(_window);
 	m_storeChannel->call(platform::transactionCall(change), kStoreTimeout,
 						 [self = shared_from_this(), _window, counts](const std::optional<HttpAnswer>& _answer)
 						 {
-							 self->m_inWork.erase(_window);
+							 self->m_pendingWindows.erase(_window);
 							 const KvResult result = platform::readTransaction(_answer);
 							 if (result.outcome == KvOutcome::Done)
 							 {
@@ -325,21 +329,21 @@
 
 void DutyHolder::sendWindow(std::uint64_t _window, const std::map<std::string, std::uint64_t>& _counts)
 {
-	if (m_inWork.count(_window))
+	if (m_pendingWindows.count(_window))
 	{
 		return;
 	}
-	m_inWork.insert(_window);
+	m_pendingWindows.insert(_window);
 	const platform::DutyHolder holder{m_context.settings.name, m_lease.fence()};
 	m_dutyChannel->call(
 		platform::usageCall(holder, _window, _counts), kDutyTimeout,
 		[self = shared_from_this(), _window, fence = m_lease.fence()](const std::optional<HttpAnswer>& _answer)
 		{
-			self->m_inWork.erase(_window);
+			self->m_pendingWindows.erase(_window);
 			const bool taken = _answer && _answer->status == 200;
 			if (taken)
 			{
-				self->m_reported.insert(_window);
+				self->m_reportedWindows.insert(_window);
 			}
 			logEvent(taken ? LogLevel::Info : LogLevel::Warning, "usage-report",
 					 {{"window", std::to_string(_window)},
@@ -353,7 +357,7 @@
 void DutyHolder::orderCapacity(Micros _now)
 {
 	const auto& config = m_context.directory.config();
-	if (!config || !m_lease.mayAct(_now) || m_openOrders > 0)
+	if (!config || !m_lease.mayAct(_now) || m_pendingOrders > 0)
 	{
 		return;
 	}
@@ -361,12 +365,12 @@
 	{
 		if (service.scaling)
 		{
-			orderFor(service, _now);
+			orderCapacityFor(service, _now);
 		}
 	}
 }
 
-void DutyHolder::orderFor(const PooledService& _service, Micros _now)
+void DutyHolder::orderCapacityFor(const PooledService& _service, Micros _now)
 {
 	std::map<std::string, ZoneCapacity> zones;
 	for (const auto& [zone, price] : _service.scaling->zonePrices)
@@ -377,8 +381,8 @@
 	unsigned onDemand = 0;
 	for (const auto& [id, known] : m_context.directory.backends())
 	{
-		// Records lapse together while the store is down and come back with the next heartbeat.
-		const bool gone = known.vanishedAt != kNever && _now - known.vanishedAt > kLapseSpan;
+		// Records expire together during an outage of the store and return with the next heartbeat.
+		const bool gone = known.vanishedAt != kNever && _now - known.vanishedAt > kVanishedRecordSpan;
 		if (known.record.service != _service.name || gone)
 		{
 			continue;
@@ -420,27 +424,27 @@
 {
 	const double work = CapacityPlanner::combinedWork(m_context.demand.work(_service.name),
 													  m_context.demand.occupied(_service.name));
-	CapacityPlanner::Observation seen;
-	seen.work = work;
-	// One that does not hear of most gateways does not know the load, and keeps what stands.
+	CapacityPlanner::Observation observation;
+	observation.work = work;
+	// A gateway that does not hear most of the fleet does not know the load, and keeps the current capacity.
 	const FleetWord& word = m_context.quotas.word();
-	const bool hearsMost = word.trust(_now) == FleetTrust::Whole && word.silentShare(_now) < kMostSilent;
-	seen.settled = hearsMost && m_context.demand.settled(_service.name, _now);
-	seen.firstStart = m_context.settings.firstStart;
-	seen.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
-	seen.standing = m_startListings[_service.name].standing();
-	return CapacityPlanner::needFor(*_service.scaling, seen);
+	const bool hearsMost = word.trust(_now) == FleetTrust::Whole && word.silentShare(_now) < kMaxSilentShare;
+	observation.settled = hearsMost && m_context.demand.settled(_service.name, _now);
+	observation.firstStart = m_context.settings.firstStart;
+	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
+	observation.standing = m_startListings[_service.name].standing();
+	return CapacityPlanner::needFor(*_service.scaling, observation);
 }
 
 void DutyHolder::sendOrder(const std::string& _service, const CapacityOrder& _order)
 {
 	const platform::DutyHolder holder{m_context.settings.name, m_lease.fence()};
-	++m_openOrders;
+	++m_pendingOrders;
 	m_dutyChannel->call(
 		platform::capacityCall(holder, _service, _order.dataCentre, _order.count, _order.spot), kDutyTimeout,
 		[self = shared_from_this(), _service, _order](const std::optional<HttpAnswer>& _answer)
 		{
-			--self->m_openOrders;
+			--self->m_pendingOrders;
 			const bool taken = _answer && _answer->status == 200;
 			const bool refused = _answer && _answer->status == 409;
 			self->m_planners[_service].onAnswer(_order, taken, refused, monotonicNow());
--- a/src/gateway/dutyholder.h
+++ b/src/gateway/dutyholder.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Competes for the duties towards the platform, and does them while it holds them: usage reports and orders.
+/// Acquires the duties towards the platform, and performs them: usage reports and capacity orders.
 
 #ifndef BEACONGATE_GATEWAY_DUTYHOLDER_H
 #define BEACONGATE_GATEWAY_DUTYHOLDER_H
@@ -21,22 +21,24 @@
 
 namespace beacongate
 {
-/// One holder at a time, by a lease in the store; each has a larger fencing token than the one before.
+/// At most one gateway holds the duties, by a lease in the store. Each holder has a larger fencing token than the
+/// one before.
 class DutyHolder : public std::enable_shared_from_this<DutyHolder>
 {
 public:
 	explicit DutyHolder(GatewayContext& _context);
 
-	/// Begins to compete.
+	/// Starts the periodic work.
 	void init();
 
-	/// Stops acting; the lease runs out by itself, so that nobody acts too early after this holder.
+	/// Stops acting. The lease is left to expire, so that no successor acts while a call of this holder may still
+	/// take effect.
 	void shutdown();
 
-	/// @returns whether this gateway holds the duties.
+	/// @returns true if this gateway holds the duties.
 	bool holds() const;
 
-	/// @returns the fencing token of the holder that this gateway was last.
+	/// @returns the fencing token of the last lease that this gateway held.
 	std::uint64_t fence() const
 	{
 		return m_lease.fence();
@@ -45,17 +47,17 @@
 private:
 	void schedule();
 	void tick();
-	void compete();
-	void take(std::uint64_t _lease, Micros _span, Micros _sent);
+	void tryAcquire();
+	void writeHolder(std::uint64_t _lease, Micros _span, Micros _sent);
 	void renew();
-	/// @returns whether this holder knows what the one before left in the store.
-	bool tookOver(Micros _now) const;
-	void keepCounts(Micros _now);
+	/// @returns true if this holder has read what its predecessor left in the store.
+	bool knowsPredecessorState(Micros _now) const;
+	void storeCounts(Micros _now);
 	void reportUsage(Micros _now);
-	void fixWindow(std::uint64_t _window);
+	void finalizeWindow(std::uint64_t _window);
 	void sendWindow(std::uint64_t _window, const std::map<std::string, std::uint64_t>& _counts);
 	void orderCapacity(Micros _now);
-	void orderFor(const PooledService& _service, Micros _now);
+	void orderCapacityFor(const PooledService& _service, Micros _now);
 	CapacityPlanner::Need needOf(const PooledService& _service, unsigned _standing, unsigned _onDemand,
 								 Micros _now);
 	void sendOrder(const std::string& _service, const CapacityOrder& _order);
@@ -69,20 +71,20 @@
 	boost::asio::steady_timer m_timer;
 	DutyLease m_lease;
 	std::uint64_t m_leaseId = 0;
-	Micros m_renewed = 0;
-	Micros m_taken = kNever;       ///< When the lease was won.
-	Micros m_vacantSince = kNever; ///< When nobody was first seen to hold the duties.
-	bool m_competing = false;
+	Micros m_renewedAt = 0;
+	Micros m_acquiredAt = kNever;  ///< When this gateway acquired the duties.
+	Micros m_vacantSince = kNever; ///< Since when no gateway is seen to hold the duties.
+	bool m_acquiring = false;
 	bool m_renewing = false;
 	bool m_closed = false;
-	std::set<std::uint64_t> m_reported; ///< Windows that the platform has.
-	std::set<std::uint64_t> m_inWork;
-	std::string m_keptCounts;
-	Micros m_countsKept = kLongAgo;
-	bool m_keepingCounts = false;
+	std::set<std::uint64_t> m_reportedWindows; ///< Windows whose report the platform has accepted.
+	std::set<std::uint64_t> m_pendingWindows;  ///< Windows whose counts are being written or reported.
+	std::string m_storedCounts;
+	Micros m_countsStoredAt = kLongAgo;
+	bool m_storingCounts = false;
 	std::map<std::string, CapacityPlanner> m_planners;
 	std::map<std::string, StartListing> m_startListings;
-	std::size_t m_openOrders = 0;
+	std::size_t m_pendingOrders = 0;
 };
 
 } // namespace beacongate
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -16,13 +16,15 @@
 {
 namespace
 {
-constexpr Micros kRevocationMargin = 300 * kMillisecond; ///< For what passes between the check and the run.
-constexpr Micros kStaleConfig = 1500 * kMillisecond; ///< An older one is no reason to say that something is absent.
-constexpr Micros kConnectMin = 60 * kMillisecond;
-constexpr Micros kConnectMax = 300 * kMillisecond;
-constexpr Micros kStoreRetryAfter = 500 * kMillisecond;
-constexpr Micros kBackendUserTimeout = 3 * kSecond;
-constexpr Micros kDefaultHold = 30 * kSecond;
+/// Time from the check of a key until the request runs.
+constexpr Micros kRevocationMargin = 300 * kMillisecond;
+/// An older configuration does not prove that a route or a key is absent.
+constexpr Micros kMaxConfigAge = 1500 * kMillisecond;
+constexpr Micros kMinConnectTimeout = 60 * kMillisecond;
+constexpr Micros kMaxConnectTimeout = 300 * kMillisecond;
+constexpr Micros kStoreUnavailableRetryAfter = 500 * kMillisecond;
+constexpr Micros kBackendTcpUserTimeout = 3 * kSecond;
+constexpr Micros kDefaultDeadline = 30 * kSecond;
 constexpr double kMillisPerSecond = 1000.0;
 } // namespace
 
@@ -85,7 +87,7 @@
 	m_config = m_context.directory.config();
 	if (!m_config)
 	{
-		refuse(Failure::StoreUnavailable, "no configuration yet", kStoreRetryAfter);
+		refuse(Failure::StoreUnavailable, "no configuration yet", kStoreUnavailableRetryAfter);
 		return false;
 	}
 	if (m_info.id.empty())
@@ -93,12 +95,12 @@
 		refuse(Failure::MalformedRequest, "the request has no id");
 		return false;
 	}
-	if (!resolveAgain())
+	if (!resolveRoute())
 	{
 		return false;
 	}
-	const Micros given = std::min(m_info.deadline.value_or(kDefaultHold), m_route->timeout);
-	m_holdUntil = m_request.received + given;
+	const Micros timeout = std::min(m_info.deadline.value_or(kDefaultDeadline), m_route->timeout);
+	m_deadline = m_request.received + timeout;
 	if (timeLeft(now) <= 0)
 	{
 		refuse(Failure::DeadlineTooShort, "the deadline has passed", kShortRetryAfter);
@@ -109,16 +111,16 @@
 	return true;
 }
 
-bool Exchange::resolveAgain()
+bool Exchange::resolveRoute()
 {
 	const Micros now = monotonicNow();
-	const bool stale = m_context.directory.age(now) > kStaleConfig;
+	const bool stale = m_context.directory.age(now) > kMaxConfigAge;
 	const std::string_view path =
 		std::string_view(m_request.head.target).substr(0, m_request.head.target.find('?'));
 	m_route = m_config->findRoute(m_info.host, path);
 	if (!m_route)
 	{
-		refuse(stale ? Failure::StoreUnavailable : Failure::NoRoute, "no route", kStoreRetryAfter);
+		refuse(stale ? Failure::StoreUnavailable : Failure::NoRoute, "no route", kStoreUnavailableRetryAfter);
 		return false;
 	}
 	m_team = m_info.key.empty() ? nullptr : m_config->findTeamByKey(m_info.key);
@@ -127,12 +129,13 @@
 	if (keyUnknown || (keyNeeded && !m_team))
 	{
 		const bool mayBeNewer = stale && keyUnknown;
-		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "no such key", kStoreRetryAfter);
+		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "no such key",
+			   kStoreUnavailableRetryAfter);
 		return false;
 	}
 	if (keyMayBeRevoked(now))
 	{
-		refuse(Failure::KeyUnconfirmed, "the key cannot be confirmed", kStoreRetryAfter);
+		refuse(Failure::KeyUnconfirmed, "the key cannot be confirmed", kStoreUnavailableRetryAfter);
 		return false;
 	}
 	m_priority = m_team && m_team->priority ? *m_team->priority : m_route->priority;
@@ -174,7 +177,7 @@
 	}
 }
 
-double Exchange::quotaAmount() const
+double Exchange::quotaCost() const
 {
 	if (!m_team->countsTokens)
 	{
@@ -190,7 +193,7 @@
 	{
 		return true;
 	}
-	const double amount = quotaAmount();
+	const double amount = quotaCost();
 	const auto decided = [weak = weak_from_this()]
 	{
 		if (const auto self = weak.lock())
@@ -232,13 +235,14 @@
 	return m_admitted;
 }
 
-void Exchange::chargeRepeat()
+void Exchange::chargeRetry()
 {
-	// A request that an engine or a service failed in the middle has run there, and runs again. Not charged, a team
-	// at its limit had as much more run as the retry budget allows: a fifth, of which a tenth is tolerated.
+	// A request that failed while it ran consumes capacity again when it is retried. If retries were not charged,
+	// a team at its limit could exceed it by as much as the retry budget allows: a fifth, of which only a tenth is
+	// tolerated.
 	if (m_team && m_mayHaveRun)
 	{
-		m_context.quotas.charge(m_team->name, quotaAmount(), monotonicNow());
+		m_context.quotas.charge(m_team->name, quotaCost(), monotonicNow());
 	}
 }
 
@@ -256,7 +260,7 @@
 
 Micros Exchange::timeLeft(Micros _now) const
 {
-	return m_holdUntil - _now;
+	return m_deadline - _now;
 }
 
 bool Exchange::tryDispatch()
@@ -269,14 +273,14 @@
 	if (m_context.directory.config() != m_config)
 	{
 		m_config = m_context.directory.config();
-		if (!resolveAgain())
+		if (!resolveRoute())
 		{
 			return true;
 		}
 	}
 	if (keyMayBeRevoked(now))
 	{
-		refuse(Failure::KeyUnconfirmed, "the key cannot be confirmed", kStoreRetryAfter);
+		refuse(Failure::KeyUnconfirmed, "the key cannot be confirmed", kStoreUnavailableRetryAfter);
 		return true;
 	}
 	if (!admit())
@@ -285,18 +289,18 @@
 	}
 	if (m_context.directory.listOutdated(now))
 	{
-		// The store is slow, or this VM got no processor time for a while. Without a look at the list first, 1 to
-		// 12 of 12 requests that had come meanwhile went to the one of two backend servers that had left.
+		// The store is slow, or this VM got no CPU time for a while. If the list were not read again first, 1 to
+		// 12 of 12 requests that arrived meanwhile went to a backend server that had left (one of two).
 		m_context.metrics.onHeldForList(m_heldForList);
 		m_heldForList = true;
 		return false;
 	}
 	m_placement.tokensPerMilli = m_context.engines.tokensPerSecond(m_service) / kMillisPerSecond;
-	const Availability open = available(now);
-	const Placement placement = m_context.balancer.choose(open.open, m_placement, m_tried, now);
+	const Availability candidates = available(now);
+	const Placement placement = m_context.balancer.choose(candidates.open, m_placement, m_triedBackends, now);
 	if (!placement.backend || placement.full)
 	{
-		return refuseWithoutRoom(open, now);
+		return refuseWithoutRoom(candidates, now);
 	}
 	send(*placement.backend);
 	return true;
@@ -304,13 +308,13 @@
 
 Availability Exchange::available(Micros _now) const
 {
-	// What a backend server asked for comes before any choice, so that no fallback of the choice overrides it.
-	return m_context.backoffs.available(m_context.directory.usableOf(m_service, _now), m_tried, _now);
+	// Backoffs are applied before the balancer chooses, so that no fallback of the balancer overrides them.
+	return m_context.backoffs.available(m_context.directory.usableOf(m_service, _now), m_triedBackends, _now);
 }
 
 RoomContext Exchange::roomContext(Micros _now) const
 {
-	return {_now, m_request.received + m_route->targetLatency, m_holdUntil, m_sent > 0, m_mayHaveRun};
+	return {_now, m_request.received + m_route->targetLatency, m_deadline, m_sendCount > 0, m_mayHaveRun};
 }
 
 bool Exchange::refuseWithoutRoom(const Availability& _available, Micros _now)
@@ -329,17 +333,18 @@
 
 Micros Exchange::retryAfter(Micros _now)
 {
-	const Availability all = m_context.backoffs.available(m_context.directory.usableOf(m_service, _now), {}, _now);
-	const double spread = std::uniform_real_distribution<double>()(m_context.random);
-	return retryAfterRefusal(all, spread, kShortRetryAfter, _now);
+	const Availability candidates =
+		m_context.backoffs.available(m_context.directory.usableOf(m_service, _now), {}, _now);
+	const double jitter = std::uniform_real_distribution<double>()(m_context.random);
+	return retryAfterRefusal(candidates, jitter, kShortRetryAfter, _now);
 }
 
-void Exchange::endAfterBackoff(bool _taken)
+void Exchange::endBackoffProbe(bool _accepted)
 {
-	if (m_attempt.afterBackoff)
+	if (m_attempt.backoffProbe)
 	{
-		m_attempt.afterBackoff = false;
-		m_context.backoffs.onEnded(m_attempt.key, _taken);
+		m_attempt.backoffProbe = false;
+		m_context.backoffs.onEnded(m_attempt.key, _accepted);
 	}
 }
 
@@ -355,15 +360,15 @@
 	m_attempt.backend = _backend.record.identity();
 	m_attempt.key = _backend.key;
 	m_attempt.sent = now;
-	m_tried.push_back(_backend.record.id);
+	m_triedBackends.push_back(_backend.record.id);
 	m_attempt.slots = _backend.record.slots;
-	m_attempt.resumed = m_lastEvent.has_value() || !m_info.lastEventId.empty();
-	m_attempt.afterBackoff = m_context.backoffs.onPlaced(_backend.key, now);
+	m_attempt.resumed = m_lastEventId.has_value() || !m_info.lastEventId.empty();
+	m_attempt.backoffProbe = m_context.backoffs.onPlaced(_backend.key, now);
 	m_context.balancer.onSent(_backend.key, m_placement);
 	CallOptions options;
 	options.address = _backend.record.address;
-	options.connectSpan = std::clamp(m_route->targetLatency / 4, kConnectMin, kConnectMax);
-	options.userTimeout = kBackendUserTimeout;
+	options.connectSpan = std::clamp(m_route->targetLatency / 4, kMinConnectTimeout, kMaxConnectTimeout);
+	options.userTimeout = kBackendTcpUserTimeout;
 	options.noBody = m_request.head.method == "HEAD";
 	CallHandlers handlers;
 	const auto self = shared_from_this();
@@ -373,18 +378,18 @@
 	};
 	handlers.onSent = [self]
 	{
-		self->m_attempt.onTheWire = true;
-		self->noteStanding();
-		if (self->m_sent == 0)
+		self->m_attempt.requestSent = true;
+		self->recordListState();
+		if (self->m_sendCount == 0)
 		{
 			self->m_context.retryBudget.onRequest(self->m_service, monotonicNow());
 		}
 		else
 		{
 			self->m_context.retryBudget.onRepeat(self->m_service, monotonicNow());
-			self->chargeRepeat();
+			self->chargeRetry();
 		}
-		++self->m_sent;
+		++self->m_sendCount;
 	};
 	handlers.onHead = [self](const MessageHead& _head)
 	{
@@ -405,7 +410,7 @@
 	m_attempt.call = OutgoingCall::start(m_context.loop, options, formatForward(_backend), std::move(handlers));
 }
 
-void Exchange::noteStanding()
+void Exchange::recordListState()
 {
 	const Micros now = monotonicNow();
 	m_attempt.listAge = m_context.directory.listAge(now);
@@ -417,15 +422,15 @@
 
 bool Exchange::mayStillSend()
 {
-	// The connection may have taken 0.3 s, and where this VM gets no processor time, timers fire late. Meanwhile
-	// the backend server may have left, or asked for a backoff.
+	// Connecting may have taken 0.3 s, and timers fire late if this VM gets no CPU time. Meanwhile the backend
+	// server may have left or asked for a backoff.
 	const Micros now = monotonicNow();
 	const bool inTime = timeLeft(now) > 0;
 	const bool listed =
 		m_context.directory.takesWork(m_attempt.backend, now) && !m_context.directory.listOutdated(now);
 	const bool asked = m_context.backoffs.left(m_attempt.key, now) > 0;
-	m_attempt.heldBack = !inTime || !listed || asked;
-	return !m_attempt.heldBack;
+	m_attempt.withheld = !inTime || !listed || asked;
+	return !m_attempt.withheld;
 }
 
 std::string Exchange::formatForward(const KnownBackend& _backend) const
@@ -434,7 +439,7 @@
 	fields.timeLeft = timeLeft(monotonicNow());
 	fields.backendId = _backend.record.id;
 	fields.team = m_team ? m_team->name : "";
-	fields.lastEventId = m_lastEvent ? std::to_string(*m_lastEvent) : "";
+	fields.lastEventId = m_lastEventId ? std::to_string(*m_lastEventId) : "";
 	const PooledService* service = m_config->findService(m_service);
 	if (service && service->engine)
 	{
@@ -455,12 +460,12 @@
 void Exchange::refuse(Failure _failure, const std::string& _detail, Micros _retryAfter)
 {
 	unsigned status = failureInfo(_failure).status;
-	// Whether it ran is not known: no promise may be made.
+	// The request may have run, so the answer must not say that it did not.
 	status = m_mayHaveRun && failureInfo(_failure).outcome == Outcome::NotRun ? 502 : status;
-	answerOwn(status, _failure, _detail, m_mayHaveRun ? 0 : _retryAfter);
+	answerError(status, _failure, _detail, m_mayHaveRun ? 0 : _retryAfter);
 }
 
-void Exchange::answerOwn(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter)
+void Exchange::answerError(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter)
 {
 	if (m_finished)
 	{
@@ -468,10 +473,10 @@
 	}
 	if (m_streaming)
 	{
-		streamBroke();
+		abortStream();
 		return;
 	}
-	if (m_team && m_quotaTaken > 0.0 && !m_mayHaveRun && m_sent == 0)
+	if (m_team && m_quotaTaken > 0.0 && !m_mayHaveRun && m_sendCount == 0)
 	{
 		m_context.admission.giveBack(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
 	}
@@ -495,11 +500,11 @@
 	{
 		return;
 	}
-	const bool mayRun = m_attempt.call && m_attempt.onTheWire;
+	const bool mayRun = m_attempt.call && m_attempt.requestSent;
 	m_mayHaveRun = m_mayHaveRun || mayRun;
 	if (m_mayHaveRun)
 	{
-		answerOwn(504, Failure::BackendLost, "no answer in time", 0);
+		answerError(504, Failure::BackendLost, "no answer in time", 0);
 		return;
 	}
 	refuse(Failure::NoBackend, "no backend server had room in time", retryAfter(monotonicNow()));
@@ -535,13 +540,13 @@
 			  {"outcome", _outcome},
 			  {"status", std::to_string(_status)},
 			  {"backend", m_attempt.backend.id.empty() ? "-" : m_attempt.backend.id},
-			  {"sent", std::to_string(m_sent)},
+			  {"sent", std::to_string(m_sendCount)},
 			  {"detail", _detail.empty() ? "-" : _detail},
 			  {"ms", millisText(now - m_request.received)},
 			  {"config", m_config ? std::to_string(m_config->version) : "-"},
 			  {"config_age_ms", millisText(m_context.directory.age(now))},
-			  {"list_age_ms", m_sent == 0 ? "-" : millisText(m_attempt.listAge)},
-			  {"standing", m_sent == 0 ? "-" : std::string(toString(m_attempt.standing))},
+			  {"list_age_ms", m_sendCount == 0 ? "-" : millisText(m_attempt.listAge)},
+			  {"standing", m_sendCount == 0 ? "-" : std::string(toString(m_attempt.standing))},
 			  {"backoff_left_ms", millisText(m_attempt.backoffLeft)}});
 }
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// One caller's request from its arrival to its final answer.
+/// The processing of one caller's request, from its arrival to its final answer.
 
 #ifndef BEACONGATE_GATEWAY_EXCHANGE_H
 #define BEACONGATE_GATEWAY_EXCHANGE_H
@@ -27,7 +27,7 @@
 {
 class Dispatcher;
 
-/// Admits a request, sends it to backend servers, and hands the answer on.
+/// Admits one request, sends it to backend servers with retries, and forwards the answer to the caller.
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
@@ -37,31 +37,31 @@
 	Exchange(const Exchange&) = delete;
 	Exchange& operator=(const Exchange&) = delete;
 
-	/// Decides whether the request is taken, and sends it on.
+	/// Validates the request, then sends it or queues it.
 	void start();
 
-	/// Sends the request to a backend server where one has room.
-	/// @returns whether it left the queue: it was sent, or it was answered.
+	/// Sends the request to a backend server if one has room.
+	/// @returns true if the request must not stay in the queue: it was sent or it has ended.
 	bool tryDispatch();
 
-	/// @returns urgency for the queue: smaller goes first.
+	/// @returns the priority of the request in the queue; a smaller value goes first.
 	unsigned priority() const
 	{
 		return m_priority;
 	}
 
-	/// @returns when the request arrived.
+	/// @returns the time at which the request arrived.
 	Micros received() const
 	{
 		return m_request.received;
 	}
 
 private:
-	/// What the present attempt has seen.
+	/// The state of the current attempt.
 	struct Attempt
 	{
 		BackendIdentity backend;
-		BackendKey key; ///< Of the backend server.
+		BackendKey key; ///< Identifies the backend server's incarnation.
 		OutgoingCall::Ptr call;
 		Micros sent = 0;
 		unsigned slots = 0;
@@ -69,68 +69,70 @@
 		AnswerInfo info;
 		std::string body;
 		EventSplitter events;
-		Micros listAge = 0;                 ///< How old the list of backend servers was as the request went out.
-		Standing standing = Standing::Gone; ///< Of the backend server on that list.
-		bool afterBackoff = false;          ///< One of the few that its backend server gets after a backoff.
-		Micros backoffLeft = 0;             ///< Of what the backend server asked for, as the request went out.
-		bool heldBack = false; ///< It was not sent for a reason that does not lie with the backend server.
-		bool onTheWire = false;
-		bool firstEvent = false;
+		Micros listAge = 0;                 ///< Age of the list of backend servers when the request was sent.
+		Standing standing = Standing::Gone; ///< Standing of the backend server in that list.
+		bool backoffProbe = false; ///< This is one of the few requests that a server gets after its backoff.
+		Micros backoffLeft = 0;    ///< What remained of the server's backoff when the request was sent.
+		/// The request was not sent, for a reason that is not the backend server's fault.
+		bool withheld = false;
+		bool requestSent = false;
+		bool firstEventSeen = false;
 		Micros firstEventAt = 0;
 		unsigned eventCount = 0;
-		bool resumed = false; ///< It goes on where another run broke off.
+		bool resumed = false; ///< The stream continues one that broke off.
 		bool success = false;
 	};
 
 	bool resolve();
-	bool resolveAgain();
+	bool resolveRoute();
 	void chooseService();
-	/// Takes from the team's quota, once.
-	/// @returns whether the request may run; where not, it was refused or has to wait for word of the others.
+	/// Takes the request's cost from the team's quota, once.
+	/// @returns true if the request may run; if false, it was refused or waits for a quota grant.
 	bool admit();
 	bool takeQuota();
-	/// Goes on once a grantor has decided.
+	/// Continues after a grantor has decided.
 	void onQuotaDecided();
-	/// Charges one more run.
-	void chargeRepeat();
-	/// Counts the request in the load, whatever becomes of it.
+	/// Charges the team's quota for a retry of a request that may have run.
+	void chargeRetry();
+	/// Adds the request to the demand of its service, whether or not it succeeds.
 	void countDemand();
-	double quotaAmount() const;
+	double quotaCost() const;
 	Micros timeLeft(Micros _now) const;
 	bool keyMayBeRevoked(Micros _now) const;
-	/// @returns which backend servers it may be sent to now.
+	/// @returns the backend servers to which the request may be sent now.
 	Availability available(Micros _now) const;
-	/// @returns what it is weighed by while nothing has room for it.
+	/// @returns the conditions that decide whether the request waits for room.
 	RoomContext roomContext(Micros _now) const;
-	/// Refuses what cannot be served in time.
-	/// @returns whether it was refused.
+	/// Refuses the request if it cannot be served in time.
+	/// @returns true if the request was refused.
 	bool refuseWithoutRoom(const Availability& _available, Micros _now);
-	/// @returns when the caller of a refused request may come again.
+	/// @returns the delay after which the caller of a refused request may retry.
 	Micros retryAfter(Micros _now);
-	/// Tells that its backend server answered, or that it ended there, if it is one of the few after a backoff.
-	void endAfterBackoff(bool _taken);
+	/// Reports the result of a request that was one of the few after a backoff.
+	/// @param[in] _accepted Whether the backend server accepted the request.
+	void endBackoffProbe(bool _accepted);
 	void send(const KnownBackend& _backend);
-	/// @returns whether the request may go out now that the connection to the backend server is up.
+	/// @returns true if the request may be sent, now that the connection to the backend server is established.
 	bool mayStillSend();
-	/// Notes by which list the request goes out, for the log.
-	void noteStanding();
+	/// Records the state of the list of backend servers by which the request is sent, for the log and the metrics.
+	void recordListState();
 	std::string formatForward(const KnownBackend& _backend) const;
 	void onHead(const MessageHead& _head);
-	/// Takes in what the answer says of the backend server itself.
-	void noteBackendState();
+	/// Applies what the answer's headers say about the backend server: leaving, backoff.
+	void applyBackendState();
 	void onBody(std::string_view _bytes);
 	void onEvents(std::string_view _bytes);
 	void onDone();
 	void onFault(CallFault _fault);
-	void endAttempt(AttemptResult _result);
+	void failAttempt(AttemptResult _result);
 	void closeAttempt(bool _succeeded);
 	void releaseBackend();
-	void countBegin();
-	void passAnswer();
+	void countUsage();
+	void forwardAnswer();
 	void finishStream();
-	void streamBroke();
+	void abortStream();
 	void refuse(Failure _failure, const std::string& _detail, Micros _retryAfter = 0);
-	void answerOwn(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter);
+	void answerError(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter);
 	void onCallerGone();
 	void onTimeout();
 	void finish(const std::string& _outcome, unsigned _status, const std::string& _detail = {});
@@ -146,21 +148,21 @@
 	std::string m_service;
 	PlacementRequest m_placement;
 	unsigned m_priority = 5;
-	Micros m_holdUntil = kNever;
+	Micros m_deadline = kNever;
 	Attempt m_attempt;
-	std::vector<std::string> m_tried;
-	unsigned m_sent = 0;
+	std::vector<std::string> m_triedBackends;
+	unsigned m_sendCount = 0;
 	unsigned m_unsentTries = 0;
 	bool m_mayHaveRun = false;
 	bool m_streaming = false;
 	bool m_finished = false;
 	bool m_queued = false;
-	bool m_heldForList = false; ///< It waited for a newer list of backend servers.
+	bool m_heldForList = false; ///< The request waited for a newer list of backend servers.
 	bool m_usageCounted = false;
 	bool m_admitted = false;
 	double m_quotaTaken = 0.0;
 	QuotaTicket m_quotaTicket;
-	std::optional<std::uint64_t> m_lastEvent;
+	std::optional<std::uint64_t> m_lastEventId;
 	boost::asio::steady_timer m_timer;
 };
 
--- a/src/gateway/exchange_p.h
+++ b/src/gateway/exchange_p.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What the two halves of an exchange share.
+/// Constants shared by the two source files of Exchange.
 
 #ifndef BEACONGATE_GATEWAY_EXCHANGE_P_H
 #define BEACONGATE_GATEWAY_EXCHANGE_P_H
@@ -11,7 +11,7 @@
 
 namespace beacongate
 {
-/// After a refusal that lies with the moment's load.
+/// Retry-After of a refusal that is due to the current load.
 inline constexpr Micros kShortRetryAfter = 100 * kMillisecond;
 
 } // namespace beacongate
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// The half of an exchange that begins when a backend server answers.
+// The part of Exchange that handles the answer of a backend server.
 
 #include "daemon/logging.h"
 #include "gateway/dispatcher.h"
@@ -14,10 +14,10 @@
 {
 namespace
 {
-constexpr Micros kAttemptMin = 20 * kMillisecond; ///< Less time than this is not worth another attempt.
+constexpr Micros kMinAttemptTime = 20 * kMillisecond; ///< With less time left, another attempt is not worthwhile.
 constexpr unsigned kOk = 200;
 constexpr unsigned kMultipleChoices = 300;
-constexpr unsigned kServerErrors = 500;
+constexpr unsigned kServerError = 500;
 } // namespace
 
 void Exchange::onHead(const MessageHead& _head)
@@ -27,34 +27,34 @@
 	const bool ownAnswer = m_attempt.info.id == m_info.id;
 	if (!ownAnswer)
 	{
-		// An answer to some other request stands in this one's place.
-		endAttempt(AttemptResult::Broken);
+		// The answer belongs to another request.
+		failAttempt(AttemptResult::Broken);
 		return;
 	}
-	noteBackendState();
-	endAfterBackoff(!m_attempt.info.notExecuted && !m_attempt.info.backoff);
+	applyBackendState();
+	endBackoffProbe(!m_attempt.info.notExecuted && !m_attempt.info.backoff);
 	const bool successStatus = _head.status >= kOk && _head.status < kMultipleChoices;
 	if (successStatus && (!m_attempt.info.stamped || m_attempt.info.encoded))
 	{
-		endAttempt(AttemptResult::Broken);
+		failAttempt(AttemptResult::Broken);
 		return;
 	}
 	m_attempt.success = successStatus;
-	// A stream counts from its first event, and from a failure that the engine itself answered.
+	// A stream is counted at its first event, or when the engine itself answers with a failure.
 	const bool streaming = successStatus && m_route->kind == RouteKind::Stream;
 	if (!m_attempt.info.notExecuted && !streaming)
 	{
-		countBegin();
+		countUsage();
 	}
 }
 
-void Exchange::noteBackendState()
+void Exchange::applyBackendState()
 {
 	const AnswerInfo& info = m_attempt.info;
 	if (info.leaving && !info.misdirected)
 	{
-		// The server says so before its record does where the store is slow, and instead of it where the store is
-		// away. Who is another server than was meant speaks for itself alone.
+		// The header precedes the change of the server's record if the store is slow, and replaces it if the store
+		// is unreachable. A server that was reached by mistake speaks only for itself.
 		m_context.directory.markDraining(m_attempt.backend, LeavingSign::Answer, monotonicNow());
 	}
 	if (info.backoffUnreadable)
@@ -69,15 +69,15 @@
 	}
 }
 
-void Exchange::countBegin()
+void Exchange::countUsage()
 {
 	if (m_usageCounted || !m_team)
 	{
 		return;
 	}
 	m_usageCounted = true;
-	const Micros began = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
-	m_context.usage.onBegan(m_context.currentWindow(began), m_team->name);
+	const Micros startTime = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
+	m_context.usage.onBegan(m_context.currentWindow(startTime), m_team->name);
 }
 
 void Exchange::onBody(std::string_view _bytes)
@@ -90,36 +90,36 @@
 	m_attempt.body += _bytes;
 	if (m_attempt.body.size() > limits::kGatewayAnswerBytes)
 	{
-		endAttempt(AttemptResult::Broken);
+		failAttempt(AttemptResult::Broken);
 	}
 }
 
 void Exchange::onEvents(std::string_view _bytes)
 {
-	std::string whole;
+	std::string events;
 	for (const StreamEvent& event : m_attempt.events.add(_bytes))
 	{
 		++m_attempt.eventCount;
-		// A stream that goes on elsewhere may begin with events that the caller has.
-		if (event.id && m_lastEvent && *event.id <= *m_lastEvent)
+		// A resumed stream may begin with events that the caller already has.
+		if (event.id && m_lastEventId && *event.id <= *m_lastEventId)
 		{
 			continue;
 		}
-		m_lastEvent = event.id ? event.id : m_lastEvent;
-		whole += event.bytes;
+		m_lastEventId = event.id ? event.id : m_lastEventId;
+		events += event.bytes;
 	}
 	if (m_attempt.events.pending() > limits::kEventBytes)
 	{
-		endAttempt(AttemptResult::Broken);
+		failAttempt(AttemptResult::Broken);
 		return;
 	}
-	if (whole.empty())
+	if (events.empty())
 	{
 		return;
 	}
-	if (!m_attempt.firstEvent)
+	if (!m_attempt.firstEventSeen)
 	{
-		m_attempt.firstEvent = true;
+		m_attempt.firstEventSeen = true;
 		m_attempt.firstEventAt = monotonicNow();
 		m_context.balancer.onFirstEvent(m_attempt.key, m_placement);
 		if (!m_attempt.resumed)
@@ -127,16 +127,16 @@
 			m_context.engines.onFirstEvent(m_service, m_placement.ownTokens(), monotonicNow() - m_attempt.sent);
 		}
 		m_context.metrics.onFirstByte(m_service, monotonicNow() - m_request.received);
-		countBegin();
+		countUsage();
 	}
 	if (!m_streaming)
 	{
 		m_streaming = true;
-		m_session->startAnswer(m_attempt.head.status, endToEndHeaders(m_attempt.head.headers), whole);
+		m_session->startAnswer(m_attempt.head.status, endToEndHeaders(m_attempt.head.headers), events);
 	}
 	else
 	{
-		m_session->sendPiece(whole);
+		m_session->sendPiece(events);
 	}
 	if (m_session->unsent() > limits::kUnsentBytes)
 	{
@@ -158,15 +158,15 @@
 	if (m_attempt.info.misdirected)
 	{
 		m_context.directory.markMisdirected(m_attempt.backend);
-		endAttempt(AttemptResult::Misdirected);
+		failAttempt(AttemptResult::Misdirected);
 	}
 	else if (m_attempt.info.notExecuted)
 	{
-		endAttempt(AttemptResult::Rejected);
+		failAttempt(AttemptResult::Rejected);
 	}
-	else if (m_attempt.head.status >= kServerErrors)
+	else if (m_attempt.head.status >= kServerError)
 	{
-		endAttempt(AttemptResult::ServerError);
+		failAttempt(AttemptResult::ServerError);
 	}
 	else if (m_attempt.success && m_route->kind == RouteKind::Stream)
 	{
@@ -175,16 +175,16 @@
 	else
 	{
 		closeAttempt(true);
-		passAnswer();
+		forwardAnswer();
 	}
 }
 
 void Exchange::finishStream()
 {
-	const bool whole = m_streaming && m_attempt.events.pending() == 0;
-	if (!whole)
+	const bool complete = m_streaming && m_attempt.events.pending() == 0;
+	if (!complete)
 	{
-		endAttempt(AttemptResult::Broken);
+		failAttempt(AttemptResult::Broken);
 		return;
 	}
 	closeAttempt(true);
@@ -199,7 +199,7 @@
 
 void Exchange::onFault(CallFault _fault)
 {
-	endAttempt(_fault == CallFault::NotSent ? AttemptResult::NotSent : AttemptResult::Broken);
+	failAttempt(_fault == CallFault::NotSent ? AttemptResult::NotSent : AttemptResult::Broken);
 }
 
 void Exchange::closeAttempt(bool _succeeded)
@@ -211,7 +211,7 @@
 	m_attempt.call->cancel();
 	m_attempt.call = nullptr;
 	releaseBackend();
-	if (!m_attempt.heldBack)
+	if (!m_attempt.withheld)
 	{
 		m_context.balancer.onOutcome(m_attempt.key, _succeeded, monotonicNow());
 	}
@@ -220,53 +220,53 @@
 
 void Exchange::releaseBackend()
 {
-	endAfterBackoff(false);
-	m_context.balancer.onEnded(m_attempt.key, m_placement, m_attempt.firstEvent);
+	endBackoffProbe(false);
+	m_context.balancer.onEnded(m_attempt.key, m_placement, m_attempt.firstEventSeen);
 	if (m_attempt.slots > 0 && m_placement.promptTokens == 0)
 	{
 		m_context.demand.onCall(m_service, monotonicNow() - m_attempt.sent, m_attempt.slots);
 	}
 }
 
-void Exchange::endAttempt(AttemptResult _result)
+void Exchange::failAttempt(AttemptResult _result)
 {
 	if (m_finished)
 	{
 		return;
 	}
 	const Micros now = monotonicNow();
-	if (_result == AttemptResult::Broken && m_attempt.onTheWire)
+	if (_result == AttemptResult::Broken && m_attempt.requestSent)
 	{
-		// Answers get lost more often than engines fail before they begin.
-		countBegin();
+		// The request is counted as run: an answer is lost more often than an engine fails before it begins.
+		countUsage();
 	}
 	closeAttempt(_result == AttemptResult::Misdirected);
-	if (m_attempt.heldBack)
+	if (m_attempt.withheld)
 	{
-		m_tried.pop_back();
+		m_triedBackends.pop_back();
 	}
-	m_unsentTries += _result == AttemptResult::NotSent && !m_attempt.heldBack ? 1 : 0;
+	m_unsentTries += _result == AttemptResult::NotSent && !m_attempt.withheld ? 1 : 0;
 	m_mayHaveRun = m_mayHaveRun || mayHaveRunAfter(_result);
-	AttemptContext attempts;
-	attempts.repeatable = m_route->repeatable();
-	attempts.mayHaveRun = m_mayHaveRun;
-	attempts.sent = m_sent;
-	attempts.maxAttempts = m_route->maxAttempts;
-	attempts.unsentTries = m_unsentTries;
-	attempts.budgetAllows = m_context.retryBudget.allows(m_service, now);
-	attempts.timeLeft = timeLeft(now) > kAttemptMin;
-	const Availability open = available(now);
-	attempts.anotherBackend =
-		!open.open.empty() || open.limited ||
-		(open.waitsForBackoff() && decideWithoutRoom(roomContext(now), open) == RoomDecision::Wait);
-	const AttemptDecision decision = decideAfterAttempt(_result, attempts);
+	AttemptContext context;
+	context.repeatable = m_route->repeatable();
+	context.mayHaveRun = m_mayHaveRun;
+	context.sent = m_sendCount;
+	context.maxAttempts = m_route->maxAttempts;
+	context.unsentTries = m_unsentTries;
+	context.budgetAllows = m_context.retryBudget.allows(m_service, now);
+	context.timeLeft = timeLeft(now) > kMinAttemptTime;
+	const Availability candidates = available(now);
+	context.anotherBackend =
+		!candidates.open.empty() || candidates.limited ||
+		(candidates.waitsForBackoff() && decideWithoutRoom(roomContext(now), candidates) == RoomDecision::Wait);
+	const AttemptDecision decision = decideAfterAttempt(_result, context);
 	m_context.metrics.onFailedAttempt(m_service, toString(_result));
 	logEvent(LogLevel::Info, "attempt-failed",
 			 {{"request", m_info.id},
 			  {"backend", m_attempt.backend.id},
 			  {"result", std::string(toString(_result))},
 			  {"status", std::to_string(m_attempt.head.status)},
-			  {"sent", std::to_string(m_sent)},
+			  {"sent", std::to_string(m_sendCount)},
 			  {"backoff_left_ms", millisText(m_attempt.backoffLeft)},
 			  {"asked_backoff_ms", m_attempt.info.backoff ? millisText(*m_attempt.info.backoff) : "-"},
 			  {"says_leaving", m_attempt.info.leaving ? "yes" : "no"},
@@ -283,12 +283,12 @@
 	}
 	if (m_streaming)
 	{
-		streamBroke();
+		abortStream();
 		return;
 	}
 	if (decision == AttemptDecision::PassAnswer)
 	{
-		passAnswer();
+		forwardAnswer();
 		return;
 	}
 	if (decision == AttemptDecision::AnswerNotRun)
@@ -299,13 +299,13 @@
 	refuse(Failure::BackendLost, "the backend server gave no answer");
 }
 
-void Exchange::streamBroke()
+void Exchange::abortStream()
 {
 	m_session->abort();
 	finish("broken", 0);
 }
 
-void Exchange::passAnswer()
+void Exchange::forwardAnswer()
 {
 	HttpAnswer answer;
 	answer.status = m_attempt.head.status;
