--- a/src/coordination/collectorwatch.cpp
+++ b/src/coordination/collectormonitor.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 
 #include <algorithm>
 
@@ -12,9 +12,9 @@
 constexpr Micros kLongestRound = 2 * limits::kCollectorRound; ///< While the process runs.
 } // namespace
 
-std::vector<std::string> CollectorWatch::takeSilent(Micros _now,
-													const std::function<Micros(const std::string&)>& _heard,
-													const std::vector<std::string>& _spokenTo)
+std::vector<std::string> CollectorMonitor::takeSilent(Micros _now,
+													  const std::function<Micros(const std::string&)>& _heard,
+													  const std::vector<std::string>& _spokenTo)
 {
 	m_stall.onTick(_now, kLongestRound);
 	std::vector<std::string> silent;
@@ -22,7 +22,7 @@
 	{
 		const auto& [host, asked] = *it;
 		const Micros since = std::max({asked, _heard(host), m_stall.resumedAt()});
-		const bool isSilent = _now - since > kSilence;
+		const bool isSilent = _now - since > kSilenceTimeout;
 		if (isSilent)
 		{
 			silent.push_back(host);
--- a/src/coordination/peertable.cpp
+++ b/src/coordination/peertable.cpp
@@ -67,14 +67,14 @@
 	hosts.insert(m_registered.begin(), m_registered.end());
 	for (const auto& [host, when] : m_mentioned)
 	{
-		if (_now - when <= kMemory)
+		if (_now - when <= kMemberTimeout)
 		{
 			hosts.insert(host);
 		}
 	}
 	for (const auto& [host, peer] : m_peers)
 	{
-		if (_now - peer.heard <= kMemory || peer.heard == kLongAgo)
+		if (_now - peer.heard <= kMemberTimeout || peer.heard == kLongAgo)
 		{
 			hosts.insert(host);
 		}
@@ -82,12 +82,12 @@
 	return {hosts.begin(), hosts.end()};
 }
 
-std::vector<std::string> PeerTable::heardHosts(Micros _now) const
+std::vector<std::string> PeerTable::liveHosts(Micros _now) const
 {
 	std::vector<std::string> hosts;
 	for (const auto& [host, peer] : m_peers)
 	{
-		if (_now - peer.heard <= kMemory)
+		if (_now - peer.heard <= kMemberTimeout)
 		{
 			hosts.push_back(host);
 		}
@@ -101,7 +101,7 @@
 	return it == m_peers.end() ? 0 : it->second.newestStamp;
 }
 
-bool PeerTable::isYoung(const std::string& _host, Micros _span) const
+bool PeerTable::startedWithin(const std::string& _host, Micros _span) const
 {
 	const auto it = m_peers.find(_host);
 	return it != m_peers.end() && it->second.uptime < _span;
@@ -110,14 +110,14 @@
 std::size_t PeerTable::memberCount(Micros _now) const
 {
 	std::set<std::string> hosts = m_registered;
-	for (const std::string& host : heardHosts(_now))
+	for (const std::string& host : liveHosts(_now))
 	{
 		hosts.insert(host);
 	}
 	return hosts.size() + 1;
 }
 
-std::optional<std::string> PeerTable::freshestAfter(Micros _moment, Micros _now) const
+std::optional<std::string> PeerTable::newestConfigHost(Micros _moment, Micros _now) const
 {
 	std::optional<std::string> best;
 	Micros newest = _moment;
--- a/src/coordination/request.h
+++ b/src/coordination/request.h
@@ -94,12 +94,12 @@
 	bool handedOver = false; ///< Another entry gave it to this one.
 	std::string callerKey;   ///< Key under which its caller can come back.
 	std::uint64_t claimGeneration = 0;
-	std::optional<AskRef> released; ///< Grant that its holder gave back, to be named in the next ask.
-	Micros patience = 0;            ///< Until when the home is asked again.
-	Micros nextTry = kNever;        ///< When an unanswered ask or attachment is sent again.
-	Micros handoverNext = 0;        ///< Stopping: when it is offered to another entry next.
-	AskRef executor;                ///< Attached: whose answer it is.
-	std::uint64_t attach = 0;       ///< Attached: number of the attachment.
+	std::optional<ClaimRequestRef> released; ///< Grant that its holder gave back, to be named in the next ask.
+	Micros patience = 0;                     ///< Until when the home is asked again.
+	Micros nextTry = kNever;                 ///< When an unanswered ask or attachment is sent again.
+	Micros handoverNext = 0;                 ///< Stopping: when it is offered to another entry next.
+	ClaimRequestRef executor;                ///< Attached: whose answer it is.
+	std::uint64_t attach = 0;                ///< Attached: number of the attachment.
 
 	AttemptId attempt = 0;
 	BackendHandle backend;
@@ -111,7 +111,7 @@
 
 	TokenLog tokens;
 	std::vector<Subscriber> subscribers;
-	Fate fate = Fate::Unknown; ///< Finished: how.
+	ExecutionResult fate = ExecutionResult::Unknown; ///< Finished: how.
 	std::optional<KeptAnswer> answer;
 	std::vector<Decision> decisions;
 };
--- a/src/coordination/usageledger.h
+++ b/src/coordination/usageledger.h
@@ -42,14 +42,14 @@
 {
 public:
 	/// Windows that are remembered.
-	static constexpr std::uint64_t kRemembered = 6;
+	static constexpr std::uint64_t kRetainedWindows = 6;
 
 	explicit UsageLedger(GatewayRun _self) : m_self(std::move(_self))
 	{
 	}
 
 	/// A request of a team began to run here.
-	void onBegan(std::uint64_t _window, const std::string& _team)
+	void onRequestStarted(std::uint64_t _window, const std::string& _team)
 	{
 		++m_counts[{_window, m_self, _team}];
 	}
@@ -57,7 +57,7 @@
 	/// A run says, or is said, to have counted this much.
 	void onReport(const GatewayRun& _run, const UsageCount& _report)
 	{
-		if (_run == m_self || _report.window + kRemembered < m_newest)
+		if (_run == m_self || _report.window + kRetainedWindows < m_newest)
 		{
 			return;
 		}
@@ -101,7 +101,7 @@
 	/// had started before the window. Like a single run's, such a sum only grows as more is heard, so that the
 	/// larger of two is right; one sum over all would count those that restarted, and a collector that restarted
 	/// would forget what ended runs had counted.
-	RunCounts centreCounts(const std::string& _dataCentre, std::uint64_t _fromWindow, Micros _windowSpan) const
+	RunCounts dataCentreCounts(const std::string& _dataCentre, std::uint64_t _fromWindow, Micros _windowSpan) const
 	{
 		std::map<Key, std::uint64_t> sums;
 		for (const auto& [key, count] : m_counts)
@@ -143,8 +143,8 @@
 	void advance(std::uint64_t _window)
 	{
 		m_newest = std::max(m_newest, _window);
-		std::erase_if(m_counts,
-					  [this](const auto& _entry) { return std::get<0>(_entry.first) + kRemembered < m_newest; });
+		std::erase_if(m_counts, [this](const auto& _entry)
+					  { return std::get<0>(_entry.first) + kRetainedWindows < m_newest; });
 	}
 
 private:
--- a/src/daemon/backendside.h
+++ b/src/daemon/backendadapter.h
@@ -18,11 +18,11 @@
 namespace beacongate
 {
 /// Translates for one HttpClient; everything runs on its loop's thread.
-class BackendSide
+class BackendAdapter
 {
 public:
 	/// @param[in] _submit Hands an event to the core; false where its ring is full.
-	BackendSide(IoLoop& _loop, std::function<bool(Event)> _submit);
+	BackendAdapter(IoLoop& _loop, std::function<bool(Event)> _submit);
 
 	/// Starts or cancels an attempt; other actions are ignored.
 	void apply(Action& _action, Micros _now);
--- a/src/daemon/controlapp.cpp
+++ b/src/daemon/controlapp.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 ControlApp::ControlApp(ControlOptions _options)
-	: m_options(std::move(_options)), m_core(m_options.core, jsonDocuments()),
+	: m_options(std::move(_options)), m_core(m_options.core, jsonDocumentCodec()),
 	  m_server(m_loop,
 			   HttpServerHandlers{[this](ExchangeId _id, HttpRequest&& _request)
 								  {
@@ -308,7 +308,7 @@
 	const auto node = m_calls.extract(_call);
 	if (!node.empty() && CallKind::EntrySync == node.mapped())
 	{
-		m_queue.submit(EntrySilent{});
+		m_queue.submit(EntryUnreachable{});
 	}
 }
 
--- a/src/daemon/entryapp.cpp
+++ b/src/daemon/entryapp.cpp
@@ -36,15 +36,15 @@
 EntryApp::EntryApp(EntryOptions _options)
 	: m_options(std::move(_options)), m_self{m_options.id, newIncarnation()},
 	  m_core(coreSettings(m_options, m_self)),
-	  m_callerSide(m_self, m_facts, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
-	  m_backendSide(m_backendLoop, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
+	  m_callerAdapter(m_self, m_facts, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
+	  m_backendAdapter(m_backendLoop, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
 	  m_callerServer(m_callerLoop,
 					 HttpServerHandlers{[this](ExchangeId _id, HttpRequest&& _request)
-										{ m_callerSide.onRequest(_id, std::move(_request)); },
-										[this](ExchangeId _id) { m_callerSide.onGone(_id); },
+										{ m_callerAdapter.onRequest(_id, std::move(_request)); },
+										[this](ExchangeId _id) { m_callerAdapter.onGone(_id); },
 										[this](Failure _failure, const std::string& _detail)
 										{
-											return m_callerSide.onMalformed(_failure, _detail);
+											return m_callerAdapter.onMalformed(_failure, _detail);
 										}},
 					 limits::kRequestBodyBytes),
 	  m_internalServer(m_internalLoop,
@@ -84,7 +84,7 @@
 				  {
 					  for (const auto& action : _batch)
 					  {
-						  m_callerSide.apply(*action);
+						  m_callerAdapter.apply(*action);
 					  }
 				  }),
 	  m_toBackends(m_backendLoop,
@@ -92,12 +92,12 @@
 				   {
 					   for (const auto& action : _batch)
 					   {
-						   m_backendSide.apply(*action, monotonicNow());
+						   m_backendAdapter.apply(*action, monotonicNow());
 					   }
 				   }),
 	  m_toPeers(m_internalLoop, [this](std::vector<std::unique_ptr<Action>>& _batch) { sendPeers(_batch); })
 {
-	m_callerSide.setServer(m_callerServer);
+	m_callerAdapter.setServer(m_callerServer);
 }
 
 EntryApp::~EntryApp()
@@ -335,7 +335,7 @@
 	}
 	if ("GET" == _request.method && "/metrics" == _request.target)
 	{
-		const std::string text = m_queue.ask([](const EntryCore& _core) { return metricsOf(_core); });
+		const std::string text = m_queue.ask([](const EntryCore& _core) { return formatEntryMetrics(_core); });
 		return HttpAnswer{200, {{"Content-Type", "text/plain; version=0.0.4"}}, text};
 	}
 	throw Error(Failure::UnknownService, "nothing is served at " + _request.target);
@@ -372,8 +372,8 @@
 		const std::lock_guard lock(m_reportMutex);
 		targets = m_loadTargets;
 	}
-	m_backendSide.retrySubmits();
-	m_backendSide.pollLoad(targets);
+	m_backendAdapter.retrySubmits();
+	m_backendAdapter.pollLoad(targets);
 	m_backendLoop.after(kLoadPollSpan, [this] { pollLoad(); });
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,8 +5,8 @@
 
 #include "coordination/stoppolicy.h"
 #include "daemon/logging.h"
+#include "gateway/erroranswers.h"
 #include "gateway/gatewaystate.h"
-#include "gateway/ownanswers.h"
 #include "platform/headers.h"
 #include "protocol/contentcodec.h"
 
@@ -227,7 +227,7 @@
 	metrics.setGauge("beacongate_gateways_heard", static_cast<double>(m_context.quotas.word().gatewaysHeard(now)));
 	const Micros wordAge = m_context.quotas.word().age(now);
 	metrics.setGauge("beacongate_quota_word_age_seconds", wordAge == kNever ? -1.0 : secondsOf(wordAge));
-	const QuotaAskCounts& asks = m_context.admission.counts();
+	const QuotaGrantCounts& asks = m_context.admission.counts();
 	metrics.setGauge("beacongate_quota_asks_granted", static_cast<double>(asks.granted));
 	metrics.setGauge("beacongate_quota_asks_refused", static_cast<double>(asks.refused));
 	metrics.setGauge("beacongate_quota_asks_unable", static_cast<double>(asks.unable));
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -142,7 +142,8 @@
 	m_context.admission.setGrantors(m_context.relays.allTopMembers());
 	logGrantorNotices();
 	m_context.retryBudget.setMembers(members);
-	m_context.balancer.setPeerLoadLifetime(std::max(kSecond, kLoadPatience * GossipPlan::hearingSpan(members)));
+	m_context.balancer.setPeerLoadLifetime(
+		std::max(kSecond, kLoadPatience * GossipPlan::propagationDelay(members)));
 	m_context.balancer.setManyGateways(m_context.usesCollectors());
 	m_context.balancer.expirePeerLoads(now);
 	if (m_context.usesCollectors())
@@ -154,7 +155,7 @@
 		sendToPeers(now);
 	}
 	++m_round;
-	const Micros pause = m_context.jittered(GossipPlan::roundSpan(members));
+	const Micros pause = m_context.jittered(GossipPlan::roundInterval(members));
 	m_due = now + pause;
 	m_timer.expires_after(std::chrono::microseconds(pause));
 	m_timer.async_wait(
@@ -264,11 +265,11 @@
 	const std::vector<std::string> targets =
 		GossipPlan::targets(std::move(known), holder, limits::kGossipPeers, m_context.random);
 	GossipMessage whole = describe(_now);
-	whole.members = m_context.peers.heardHosts(_now);
+	whole.members = m_context.peers.liveHosts(_now);
 	for (const std::string& host : targets)
 	{
 		GossipMessage message = whole;
-		const GossipParts parts = GossipPlan::partsFor(host, holder, crowded, m_round);
+		const GossipSections parts = GossipPlan::sectionsFor(host, holder, crowded, m_round);
 		if (!parts.usage)
 		{
 			message.usage.clear();
@@ -285,8 +286,8 @@
 
 std::vector<QuotaLevel> Gossiper::levelsFor(const std::string& _host, Micros _now) const
 {
-	const bool young = m_context.peers.isYoung(_host, QuotaLedger::kSettling);
-	return young ? m_context.quotas.levelsToTell(_now) : std::vector<QuotaLevel>();
+	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kSettling);
+	return young ? m_context.quotas.levelsToReport(_now) : std::vector<QuotaLevel>();
 }
 
 bool Gossiper::collects() const
@@ -341,7 +342,7 @@
 	const auto topMembers = m_context.relays.topMembers(dataCentre, RelayChoice::kTopMembers);
 	const bool collecting = collects();
 	GossipMessage report = describe(_now);
-	m_follower.onReported(_now, ownSums());
+	m_follower.onReportSent(_now, ownSums());
 	if (collecting)
 	{
 		m_table.onReport(report, _now);
@@ -398,17 +399,17 @@
 void Gossiper::sendCentreSums(Micros _now)
 {
 	GossipMessage message = describeSender(_now);
-	FleetSums sums = m_table.centreSums();
-	message.kind = GossipKind::CentreSums;
+	FleetSums sums = m_table.dataCentreSums();
+	message.kind = GossipKind::DataCentreSums;
 	message.wallClock = m_context.clock.trueTime(_now);
 	message.gateways = sums.gateways;
 	message.quotas = std::move(sums.quotas);
 	message.demand = std::move(sums.demand);
 	message.loads = std::move(sums.loads);
 	const std::uint64_t window = m_context.currentWindow(_now);
-	message.centreUsage = m_context.usage.centreCounts(
+	message.dataCentreUsage = m_context.usage.dataCentreCounts(
 		m_context.settings.dataCentre, window - std::min<std::uint64_t>(window, 2), m_context.settings.usageWindow);
-	for (const auto& [run, count] : message.centreUsage)
+	for (const auto& [run, count] : message.dataCentreUsage)
 	{
 		m_context.usage.onReport(run, count);
 	}
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -82,15 +82,15 @@
 void Gossiper::onQuotaMessage(const QuotaMessage& _message, const std::string& _sender)
 {
 	const Micros now = monotonicNow();
-	if (const auto* ask = std::get_if<QuotaAsk>(&_message))
+	if (const auto* ask = std::get_if<QuotaGrantRequest>(&_message))
 	{
 		sendBytes(encodeQuota(m_context.grantor.decide(*ask, _sender, now)), _sender);
 	}
-	else if (const auto* answer = std::get_if<QuotaAnswer>(&_message))
+	else if (const auto* answer = std::get_if<QuotaGrantAnswer>(&_message))
 	{
 		m_context.admission.onAnswer(_sender, *answer, now);
 	}
-	else if (const auto* unused = std::get_if<QuotaReturn>(&_message))
+	else if (const auto* unused = std::get_if<QuotaGrantReturn>(&_message))
 	{
 		m_context.grantor.onReturn(*unused, now);
 	}
@@ -117,7 +117,7 @@
 	{
 		m_context.usage.onReport(message->run, count);
 	}
-	for (const auto& [run, count] : message->centreUsage)
+	for (const auto& [run, count] : message->dataCentreUsage)
 	{
 		m_context.usage.onReport(run, count);
 	}
@@ -125,7 +125,7 @@
 	{
 		onReport(*message, fresh, now);
 	}
-	if (message->kind == GossipKind::CentreSums)
+	if (message->kind == GossipKind::DataCentreSums)
 	{
 		answerWithEcho(message->host, now);
 	}
@@ -133,9 +133,9 @@
 	{
 		return;
 	}
-	if (message->kind == GossipKind::CentreSums)
+	if (message->kind == GossipKind::DataCentreSums)
 	{
-		onCentreSums(*message, now);
+		onDataCentreSums(*message, now);
 	}
 	if (message->kind == GossipKind::FleetSums)
 	{
@@ -205,10 +205,10 @@
 	}
 }
 
-void Gossiper::onCentreSums(const GossipMessage& _message, Micros _now)
+void Gossiper::onDataCentreSums(const GossipMessage& _message, Micros _now)
 {
 	if (!collects() || _message.dataCentre == m_context.settings.dataCentre ||
-		!m_table.onCentreSums(_message, _now))
+		!m_table.onDataCentreSums(_message, _now))
 	{
 		return;
 	}
@@ -224,7 +224,7 @@
 	{
 		return;
 	}
-	std::optional<FleetSums> others = m_follower.othersIn(_message);
+	std::optional<FleetSums> others = m_follower.sumsOfOthers(_message);
 	if (!others)
 	{
 		return;
--- a/tests/fleettabletest.cpp
+++ b/tests/fleettabletest.cpp
@@ -37,7 +37,7 @@
 GossipMessage sumsOf(const FleetSums& _sums, const std::string& _host, const std::string& _dataCentre)
 {
 	GossipMessage message;
-	message.kind = GossipKind::CentreSums;
+	message.kind = GossipKind::DataCentreSums;
 	message.run = {_host, 1};
 	message.host = _host;
 	message.dataCentre = _dataCentre;
@@ -90,7 +90,7 @@
 			table.onReport(reportOf(gateway, taken[gateway] / 2, runs[gateway]), 0); // An older one, late.
 		}
 		RC_ASSERT(std::abs(takenIn(table.fleetSums()) - all) < 1e-6);
-		RC_ASSERT(std::abs(takenIn(table.centreSums()) - all) < 1e-6);
+		RC_ASSERT(std::abs(takenIn(table.dataCentreSums()) - all) < 1e-6);
 	}
 }
 
@@ -131,15 +131,15 @@
 	sums.gateways = 3;
 	sums.quotas = {{kTeam, 100.0}};
 	sums.loads = {{BackendKey("b"), 2, 0}};
-	EXPECT_TRUE(table.onCentreSums(sumsOf(sums, "10.1.0.1", "b"), 0));
-	EXPECT_FALSE(table.onCentreSums(sumsOf(sums, "10.1.0.2", "b"), 100 * kMillisecond));
+	EXPECT_TRUE(table.onDataCentreSums(sumsOf(sums, "10.1.0.1", "b"), 0));
+	EXPECT_FALSE(table.onDataCentreSums(sumsOf(sums, "10.1.0.2", "b"), 100 * kMillisecond));
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(table.fleetSums().gateways, 3u);
-	EXPECT_EQ(takenIn(table.centreSums()), 0.0) << "sums of others are not passed on as one's own";
+	EXPECT_EQ(takenIn(table.dataCentreSums()), 0.0) << "sums of others are not passed on as one's own";
 	const Micros later = FleetTable::kCollectorSilence + 1;
 	GossipMessage second = sumsOf(sums, "10.1.0.2", "b");
 	second.uptime = FleetTable::kYoung + 1;
-	EXPECT_TRUE(table.onCentreSums(second, later)) << "the first one is silent";
+	EXPECT_TRUE(table.onDataCentreSums(second, later)) << "the first one is silent";
 	EXPECT_EQ(takenIn(table.fleetSums()), 100.0);
 	EXPECT_EQ(inFlightIn(table.fleetSums(), BackendKey("b")), 2u);
 	table.expire(later + FleetTable::kLife + 1);
@@ -167,7 +167,7 @@
 		FleetSums reported;
 		reported.quotas = mine.quotas;
 		reported.loads = mine.loads;
-		follower.onReported(now, reported);
+		follower.onReportSent(now, reported);
 		if (step % 6 == 0)
 		{
 			continue; // The report is lost.
@@ -179,7 +179,7 @@
 		GossipMessage sums = sumsOf(table.fleetSums(), "10.0.0.9", "a");
 		sums.kind = GossipKind::FleetSums;
 		sums.echo = mine.sent;
-		const auto rest = follower.othersIn(sums);
+		const auto rest = follower.sumsOfOthers(sums);
 		RC_ASSERT(rest.has_value());
 		RC_ASSERT(inFlightIn(*rest, backend) == 3u);
 		RC_ASSERT(rest->gateways == 1u);
@@ -188,7 +188,7 @@
 	}
 	GossipMessage unknown;
 	unknown.echo = now + 1;
-	RC_ASSERT(!follower.othersIn(unknown));
+	RC_ASSERT(!follower.sumsOfOthers(unknown));
 }
 
 TEST(UsageLedger, sumsOfADataCentreSurviveItsCollectorsAndAllGateways)
@@ -198,12 +198,12 @@
 	const auto early = static_cast<std::uint64_t>(kWindow * kSpan - 60 * kSecond);
 	const auto late = static_cast<std::uint64_t>(kWindow * kSpan + 2 * kSecond);
 	UsageLedger collector({"g1", early});
-	collector.onBegan(kWindow, kTeam);
+	collector.onRequestStarted(kWindow, kTeam);
 	collector.onReport({"g2", early}, {kWindow, kTeam, 4});
 	UsageLedger holder({"h", early});
 	const auto tell = [&](const UsageLedger& _from)
 	{
-		for (const auto& [run, count] : _from.centreCounts("a", kWindow, kSpan))
+		for (const auto& [run, count] : _from.dataCentreCounts("a", kWindow, kSpan))
 		{
 			holder.onReport(run, count);
 		}
@@ -355,12 +355,12 @@
 			FleetSums own;
 			own.quotas = report.quotas;
 			own.loads = report.loads;
-			gateway.follower.onReported(m_now, own);
+			gateway.follower.onReportSent(m_now, own);
 			send(_number, gateway.first, report);
 			return;
 		}
 		gateway.table.onReport(report, m_now);
-		GossipMessage sums = sumsOf(gateway.table.centreSums(), report.host, report.dataCentre);
+		GossipMessage sums = sumsOf(gateway.table.dataCentreSums(), report.host, report.dataCentre);
 		sums.uptime = m_now;
 		for (unsigned other = 0; other < m_gateways.size(); ++other)
 		{
@@ -381,9 +381,9 @@
 			ASSERT_TRUE(message);
 			Gateway& receiver = m_gateways[datagram.to];
 			receiver.bytes += static_cast<double>(datagram.bytes.size());
-			if (message->kind == GossipKind::CentreSums)
+			if (message->kind == GossipKind::DataCentreSums)
 			{
-				receiver.table.onCentreSums(*message, m_now);
+				receiver.table.onDataCentreSums(*message, m_now);
 			}
 			else if (message->kind == GossipKind::Report)
 			{
@@ -394,7 +394,7 @@
 				const auto sender = static_cast<unsigned>(std::stoul(message->run.name.substr(1)));
 				send(datagram.to, sender, sums);
 			}
-			else if (const auto others = receiver.follower.othersIn(*message))
+			else if (const auto others = receiver.follower.sumsOfOthers(*message))
 			{
 				receiver.known = takenIn(*others);
 			}
@@ -533,10 +533,10 @@
 		hear(first, report.host, report, 1);
 		FleetSums own;
 		own.quotas = report.quotas;
-		gateway.follower.onReported(m_now, own);
+		gateway.follower.onReportSent(m_now, own);
 		GossipMessage sums = sumsOf(first.table.fleetSums(), "collector", "a");
 		sums.echo = m_now;
-		const auto others = gateway.follower.othersIn(sums);
+		const auto others = gateway.follower.sumsOfOthers(sums);
 		ASSERT_TRUE(others);
 		sums.quotas = others->quotas;
 		hear(gateway, "fleet", sums, others->gateways);
@@ -544,12 +544,12 @@
 
 	void tellCentres(unsigned _number)
 	{
-		GossipMessage sums =
-			sumsOf(m_gateways[_number].table.centreSums(), "c" + std::to_string(_number), std::to_string(_number));
+		GossipMessage sums = sumsOf(m_gateways[_number].table.dataCentreSums(), "c" + std::to_string(_number),
+									std::to_string(_number));
 		sums.uptime = m_now;
 		for (unsigned other = 0; other < kDataCentres; ++other)
 		{
-			if (other != _number && m_gateways[other].table.onCentreSums(sums, m_now))
+			if (other != _number && m_gateways[other].table.onDataCentreSums(sums, m_now))
 			{
 				hear(m_gateways[other], sums.host, sums, sums.gateways);
 			}
--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -42,13 +42,13 @@
 
 TEST(GossipPlan, sendsUsageToTheDutyHolderEachRoundAndToOthersPeriodically)
 {
-	EXPECT_TRUE(GossipPlan::partsFor("a", "a", true, 3).usage);
-	EXPECT_FALSE(GossipPlan::partsFor("b", "a", true, 3).usage);
-	EXPECT_FALSE(GossipPlan::partsFor("a", "a", true, 3).members);
-	EXPECT_TRUE(GossipPlan::partsFor("b", std::nullopt, true, 3).usage) << "no duty holder is known";
-	EXPECT_TRUE(GossipPlan::partsFor("b", "a", true, 0).usage);
-	EXPECT_TRUE(GossipPlan::partsFor("b", "a", false, 3).usage) << "all are reached in each round";
-	EXPECT_TRUE(GossipPlan::partsFor("b", "a", true, GossipPlan::kFullEvery).members);
+	EXPECT_TRUE(GossipPlan::sectionsFor("a", "a", true, 3).usage);
+	EXPECT_FALSE(GossipPlan::sectionsFor("b", "a", true, 3).usage);
+	EXPECT_FALSE(GossipPlan::sectionsFor("a", "a", true, 3).members);
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", std::nullopt, true, 3).usage) << "no duty holder is known";
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", true, 0).usage);
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", false, 3).usage) << "all are reached in each round";
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", true, GossipPlan::kFullReportRounds).members);
 }
 
 RC_GTEST_PROP(AttemptPolicy, respectsRepeatabilityAndLimits,
@@ -134,10 +134,10 @@
 	message.echo = 10 * kSecond;
 	message.configAge = 100 * kMillisecond;
 	EXPECT_TRUE(peers.onMessage(message, 10 * kSecond + 200 * kMillisecond));
-	EXPECT_TRUE(peers.freshestAfter(9 * kSecond, 10 * kSecond + 200 * kMillisecond));
+	EXPECT_TRUE(peers.newestConfigHost(9 * kSecond, 10 * kSecond + 200 * kMillisecond));
 	message.echo = 11 * kSecond;
 	EXPECT_FALSE(peers.onMessage(message, 16 * kSecond));
-	EXPECT_FALSE(peers.freshestAfter(9 * kSecond, 16 * kSecond));
+	EXPECT_FALSE(peers.newestConfigHost(9 * kSecond, 16 * kSecond));
 }
 
 TEST(PeerTable, aPeersReportIsAsOldAsTheTimestampThatItEchoes)
@@ -193,12 +193,12 @@
 TEST(UsageLedger, countsOutliveTheGatewayThatReportedThem)
 {
 	UsageLedger ledger({"a", 1});
-	ledger.onBegan(10, "team");
+	ledger.onRequestStarted(10, "team");
 	ledger.onReport({"b", 5}, {10, "team", 3});
 	ledger.onReport({"b", 5}, {10, "team", 2}); // A late report: counts only grow.
 	ledger.onReport({"b", 6}, {10, "team", 1}); // A later run of the same gateway is counted separately.
 	EXPECT_EQ(ledger.totals(10).at("team"), 5u);
-	ledger.advance(10 + UsageLedger::kRemembered + 1);
+	ledger.advance(10 + UsageLedger::kRetainedWindows + 1);
 	EXPECT_TRUE(ledger.totals(10).empty());
 }
 
--- a/tests/quotaadmissiontest.cpp
+++ b/tests/quotaadmissiontest.cpp
@@ -75,7 +75,7 @@
 	QuotaVerdict poll(QuotaTicket& _ticket, Micros _span)
 	{
 		QuotaVerdict verdict = take(_ticket);
-		for (const Micros end = now + _span; now < end && verdict.bound == QuotaBound::Unproved;)
+		for (const Micros end = now + _span; now < end && verdict.bound == QuotaRefusalReason::Pending;)
 		{
 			pass(kStep);
 			verdict = take(_ticket);
@@ -83,14 +83,14 @@
 		return verdict;
 	}
 
-	QuotaAsk lastAsk() const
+	QuotaGrantRequest lastAsk() const
 	{
-		return std::get<QuotaAsk>(sent.back().second);
+		return std::get<QuotaGrantRequest>(sent.back().second);
 	}
 
 	void answer(GrantOutcome _outcome, Micros _wait = 0, Micros _hold = 0)
 	{
-		const QuotaAsk ask = lastAsk();
+		const QuotaGrantRequest ask = lastAsk();
 		asker.admission.onAnswer(sent.back().first, {ask.id, _outcome, _wait, _hold, ask.team, ask.amount}, now);
 	}
 
@@ -104,7 +104,7 @@
 TEST_F(QuotaAdmissionTest, aGrantedRequestPassesAndIsCountedByTheGrantorAlone)
 {
 	QuotaTicket ticket;
-	EXPECT_EQ(take(ticket).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(ticket).bound, QuotaRefusalReason::Pending);
 	ASSERT_EQ(sent.size(), 1u);
 	answer(GrantOutcome::Granted);
 	EXPECT_EQ(decided, 1);
@@ -119,15 +119,15 @@
 	take(first);
 	answer(GrantOutcome::Refused, 200 * kMillisecond, 300 * kMillisecond);
 	const QuotaVerdict refused = take(first);
-	EXPECT_EQ(refused.bound, QuotaBound::Grantor);
+	EXPECT_EQ(refused.bound, QuotaRefusalReason::Grantor);
 	EXPECT_EQ(refused.wait, 300 * kMillisecond);
 	pass(100 * kMillisecond);
 	QuotaTicket second;
-	EXPECT_EQ(take(second).bound, QuotaBound::Grantor);
+	EXPECT_EQ(take(second).bound, QuotaRefusalReason::Grantor);
 	EXPECT_EQ(sent.size(), 1u);
 	pass(200 * kMillisecond);
 	QuotaTicket third;
-	EXPECT_EQ(take(third).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(third).bound, QuotaRefusalReason::Pending);
 	EXPECT_EQ(sent.size(), 2u);
 }
 
@@ -139,7 +139,7 @@
 	take(first);
 	asker.admission.onLimitsChanged();
 	QuotaTicket second;
-	EXPECT_EQ(take(second).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(second).bound, QuotaRefusalReason::Pending);
 }
 
 TEST_F(QuotaAdmissionTest, aSilentGrantorIsAskedTwiceThenAnotherOneAndLaterItIsPassedOver)
@@ -148,7 +148,7 @@
 	poll(ticket, QuotaAdmission::kRepeatAfter + 2 * kStep);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[0].first, sent[1].first);
-	EXPECT_EQ(std::get<QuotaAsk>(sent[0].second).id, lastAsk().id);
+	EXPECT_EQ(std::get<QuotaGrantRequest>(sent[0].second).id, lastAsk().id);
 	poll(ticket, QuotaAdmission::kPatience - QuotaAdmission::kRepeatAfter);
 	ASSERT_EQ(sent.size(), 3u);
 	EXPECT_NE(sent[2].first, sent[0].first);
@@ -166,7 +166,7 @@
 	QuotaTicket ticket;
 	take(ticket);
 	now += 3 * kSecond;
-	EXPECT_EQ(take(ticket).bound, QuotaBound::Unproved);
+	EXPECT_EQ(take(ticket).bound, QuotaRefusalReason::Pending);
 	EXPECT_EQ(sent.size(), 1u);
 	answer(GrantOutcome::Granted);
 	EXPECT_TRUE(take(ticket).passes());
@@ -181,7 +181,7 @@
 	answer(GrantOutcome::Granted);
 	ASSERT_EQ(sent.size(), 2u);
 	EXPECT_EQ(sent[1].first, sent[0].first);
-	EXPECT_EQ(std::get<QuotaReturn>(sent[1].second).amount, 1.0);
+	EXPECT_EQ(std::get<QuotaGrantReturn>(sent[1].second).amount, 1.0);
 	EXPECT_EQ(decided, 0);
 }
 
@@ -194,7 +194,7 @@
 	asker.admission.giveBack(ticket, kTeam, 1.0, now);
 	asker.admission.giveBack(ticket, kTeam, 1.0, now);
 	ASSERT_EQ(sent.size(), 2u);
-	EXPECT_EQ(std::get<QuotaReturn>(sent[1].second).team, kTeam);
+	EXPECT_EQ(std::get<QuotaGrantReturn>(sent[1].second).team, kTeam);
 }
 
 TEST_F(QuotaAdmissionTest, oneThatWillKnowSoonIsAskedAgain)
@@ -214,7 +214,7 @@
 	{
 		QuotaTicket ticket;
 		const QuotaVerdict verdict = poll(ticket, 2 * QuotaAdmission::kLongestAsk);
-		ASSERT_NE(verdict.bound, QuotaBound::Unproved) << "a request is decided on in time";
+		ASSERT_NE(verdict.bound, QuotaRefusalReason::Pending) << "a request is decided on in time";
 		passed += verdict.passes() ? 1.0 : 0.0;
 		pass(100 * kMillisecond);
 	}
@@ -244,7 +244,7 @@
 class QuotaGrantorTest : public testing::Test
 {
 protected:
-	QuotaAnswer ask(const std::string& _asker, std::uint64_t _id)
+	QuotaGrantAnswer ask(const std::string& _asker, std::uint64_t _id)
 	{
 		return member.grantor.decide({_id, kTeam, 1.0}, _asker, now);
 	}
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -11,7 +11,7 @@
 /// each serves what came meanwhile by what it knew before.
 
 #include "collectorfleet.h"
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 
 #include <gtest/gtest.h>
 
@@ -91,7 +91,7 @@
 {
 	constexpr Micros kRound = limits::kCollectorRound;
 	const std::vector<std::string> topMembers{"a", "b"};
-	CollectorWatch watch;
+	CollectorMonitor watch;
 	Micros now = kSecond;
 	Micros heard = now;
 	const auto heardAt = [&heard](const std::string&)
@@ -121,28 +121,28 @@
 /// What waited in the socket while a gateway stood still, or comes late, proves nothing of the present.
 TEST(QuotaStall, wordsCountByWhatTheyAnswer)
 {
-	FleetWord word;
+	FleetLiveness word;
 	word.setMembers(3);
 	const Micros start = kSecond;
 	word.onTick(start);
-	EXPECT_EQ(word.trust(start), FleetTrust::Lost) << "nobody was ever heard";
+	EXPECT_EQ(word.contact(start), FleetContact::Lost) << "nobody was ever heard";
 	word.onHeard("a", start, start, 1);
 	word.onHeard("b", start, start, 1);
-	EXPECT_EQ(word.trust(start), FleetTrust::Whole);
+	EXPECT_EQ(word.contact(start), FleetContact::Whole);
 	const Micros resumedAt = start + 2 * kSecond;
 	word.onTick(resumedAt);
-	EXPECT_EQ(word.trust(resumedAt), FleetTrust::Awaited);
+	EXPECT_EQ(word.contact(resumedAt), FleetContact::Resuming);
 	word.onHeard("a", resumedAt, resumedAt - kSecond, 1);
-	EXPECT_EQ(word.trust(resumedAt), FleetTrust::Awaited) << "it answers what was sent before the stall";
+	EXPECT_EQ(word.contact(resumedAt), FleetContact::Resuming) << "it answers what was sent before the stall";
 	EXPECT_EQ(word.silentShare(resumedAt), 0.0) << "that they were not heard says nothing of them";
 	word.onHeard("a", resumedAt, resumedAt, 1);
-	EXPECT_EQ(word.trust(resumedAt), FleetTrust::Whole);
-	const Micros late = resumedAt + FleetWord::kAwaited + FleetWord::kSilence + 1;
+	EXPECT_EQ(word.contact(resumedAt), FleetContact::Whole);
+	const Micros late = resumedAt + FleetLiveness::kResumeTimeout + FleetLiveness::kSilenceTimeout + 1;
 	for (Micros now = resumedAt; now < late; now += 100 * kMillisecond)
 	{
 		word.onTick(now);
 	}
-	EXPECT_EQ(word.trust(late), FleetTrust::Lost);
+	EXPECT_EQ(word.contact(late), FleetContact::Lost);
 	EXPECT_GT(word.silentShare(late), 0.6);
 }
 
