--- a/src/coordination/collectormonitor.cpp
+++ b/src/coordination/collectormonitor.cpp
@@ -17,12 +17,12 @@
 													  const std::function<Micros(const std::string&)>& _heard,
 													  const std::vector<std::string>& _contacted)
 {
-	m_stall.onTime(_now, kMaxRoundInterval);
+	m_stall.onTick(_now, kMaxRoundInterval);
 	std::vector<std::string> silent;
 	for (auto it = m_contactedAt.begin(); it != m_contactedAt.end();)
 	{
 		const auto& [host, contactedAt] = *it;
-		const Micros since = std::max({contactedAt, _heard(host), m_stall.woke()});
+		const Micros since = std::max({contactedAt, _heard(host), m_stall.resumedAt()});
 		const bool isSilent = _now - since > kSilenceTimeout;
 		if (isSilent)
 		{
--- a/src/coordination/entryhandover.cpp
+++ b/src/coordination/entryhandover.cpp
@@ -59,7 +59,7 @@
 	}
 	// Not executed here: the caller finds it again at any other entry.
 	tellMoved(_request);
-	conclude(_request, Fate::NotStarted);
+	conclude(_request, ExecutionResult::NotStarted);
 }
 
 void EntryCore::tellMoved(const Request& _request)
@@ -103,7 +103,7 @@
 	handover.callerKey = _request.callerKey;
 	if (_request.claimed)
 	{
-		handover.released = AskRef{m_settings.self, _request.ask};
+		handover.released = ClaimRequestRef{m_settings.self, _request.ask};
 	}
 	handover.payload = *_request.payload;
 	handover.tokens = _request.tokens.from(0);
@@ -121,7 +121,7 @@
 		return;
 	}
 	CallerRequest event;
-	event.exchange = kHandedOverBit | m_nextAsk++;
+	event.exchange = kHandedOverBit | m_nextClaimNumber++;
 	event.service = _message.service;
 	event.payload = std::make_shared<const CallPayload>(std::move(_message.payload));
 	event.key = _message.callerKey;
@@ -152,7 +152,7 @@
 	}
 	decide(request, DecisionKind::Accepted, _from.id, 0, request.tokens.size());
 	sendPeer(_from, HandoverAck{_message.number});
-	askHome(request);
+	requestClaim(request);
 }
 
 void EntryCore::onPeer(const EntryRef& _from, HandoverAck& _message)
@@ -175,7 +175,7 @@
 	// The claim is the successor's now; the home hears of that from the successor.
 	request.claimed = false;
 	request.handedOver = false;
-	conclude(request, Fate::NotStarted);
+	conclude(request, ExecutionResult::NotStarted);
 }
 
 } // namespace beacongate
--- a/src/coordination/entryrequests.cpp
+++ b/src/coordination/entryrequests.cpp
@@ -74,7 +74,7 @@
 		joinLocal(request, *executing);
 		return;
 	}
-	askHome(request);
+	requestClaim(request);
 }
 
 std::unique_ptr<Request> EntryCore::makeRequest(const CallerRequest& _event, TeamHandle _team,
@@ -91,7 +91,7 @@
 	request->deadline = m_now + std::min(span, limits::kMaxDeadline);
 	request->priority = _event.priority;
 	request->repeatable = m_catalog.at(_service).config.repeatable;
-	request->patience = std::min(request->deadline, m_now + limits::kClaimPatience);
+	request->patience = std::min(request->deadline, m_now + limits::kClaimTimeout);
 	request->callerKey = _event.key.empty() ? requestName(m_settings.self, _event.exchange) : _event.key;
 	request->digest = digestOf(*_event.payload);
 	measure(*request);
@@ -369,7 +369,7 @@
 	Backend& backend = m_backends.at(_backend);
 	const unsigned doublings = std::min(backend.failures, kRefuseDoublings);
 	backend.failures += 1;
-	backend.refusedUntil = m_now + (kRefuseBase << doublings);
+	backend.backoffUntil = m_now + (kRefuseBase << doublings);
 }
 
 void EntryCore::moveOff(BackendHandle _backend)
--- a/src/coordination/fleetliveness.cpp
+++ b/src/coordination/fleetliveness.cpp
@@ -29,14 +29,14 @@
 	return std::max(kSilenceTimeout, 2 * GossipPlan::propagationDelay(m_members));
 }
 
-void FleetLiveness::onTime(Micros _now)
+void FleetLiveness::onTick(Micros _now)
 {
-	m_stall.onTime(_now, kMaxTickRounds * GossipPlan::roundInterval(m_members));
+	m_stall.onTick(_now, kMaxTickRounds * GossipPlan::roundInterval(m_members));
 }
 
 Micros FleetLiveness::silentSince(const SourceState& _state) const
 {
-	return std::max(_state.confirmedAt, m_stall.woke());
+	return std::max(_state.confirmedAt, m_stall.resumedAt());
 }
 
 void FleetLiveness::onHeard(const std::string& _source, Micros _now, Micros _confirmedAt, std::size_t _gateways)
@@ -132,7 +132,7 @@
 	std::size_t confirmed = 1;
 	for (const auto& [source, state] : m_heard)
 	{
-		const bool isNew = state.confirmedAt >= m_stall.woke() && _now - state.confirmedAt <= silenceTimeout();
+		const bool isNew = state.confirmedAt >= m_stall.resumedAt() && _now - state.confirmedAt <= silenceTimeout();
 		confirmed += isNew ? state.gateways : 0;
 	}
 	const double minConfirmed = kMinHeardShare * static_cast<double>(std::min(m_maxHeard, m_members));
@@ -140,7 +140,7 @@
 	{
 		return FleetContact::Established;
 	}
-	const bool justResumed = m_stall.woke() != kLongAgo && _now - m_stall.woke() <= kResumeTimeout;
+	const bool justResumed = m_stall.resumedAt() != kLongAgo && _now - m_stall.resumedAt() <= kResumeTimeout;
 	return justResumed ? FleetContact::Resuming : FleetContact::Lost;
 }
 
--- a/src/coordination/fleetliveness.h
+++ b/src/coordination/fleetliveness.h
@@ -55,7 +55,7 @@
 
 	/// Detects stalls of this process. Must be called several times a second, and before any other call at the same
 	/// time.
-	void onTime(Micros _now);
+	void onTick(Micros _now);
 
 	/// Records a report of a source.
 	/// @param[in] _confirmedAt Time at which this gateway sent the message that the report answers.
@@ -101,7 +101,7 @@
 	/// @returns true if this process has resumed from a stall within a span.
 	bool resumedWithin(Micros _span, Micros _now) const
 	{
-		return m_stall.woke() != kLongAgo && _now - m_stall.woke() <= _span;
+		return m_stall.resumedAt() != kLongAgo && _now - m_stall.resumedAt() <= _span;
 	}
 
 	/// @returns the time since the last report from any source; kNever before the first one.
--- a/src/coordination/hometable.cpp
+++ b/src/coordination/hometable.cpp
@@ -47,7 +47,7 @@
 	m_acksMissing.clear();
 	if (nullptr != _roster->findRun(m_self))
 	{
-		for (const EntryRef& entry : _roster->living())
+		for (const EntryRef& entry : _roster->liveEntries())
 		{
 			if (entry != m_self)
 			{
@@ -66,7 +66,7 @@
 	return unconfirmedSeals();
 }
 
-ClaimReply HomeTable::ask(const ClaimAsk& _ask, Micros _now)
+ClaimReply HomeTable::ask(const ClaimRequest& _ask, Micros _now)
 {
 	ClaimReply reply;
 	reply.ask = _ask.ask;
@@ -124,7 +124,7 @@
 	return grant(_ask, reply, claim.generation + 1, _now);
 }
 
-ClaimReply HomeTable::grant(const ClaimAsk& _ask, ClaimReply _reply, std::uint64_t _generation, Micros _now)
+ClaimReply HomeTable::grant(const ClaimRequest& _ask, ClaimReply _reply, std::uint64_t _generation, Micros _now)
 {
 	const auto [it, added] = m_claims.try_emplace(_ask.key);
 	if (added)
@@ -148,23 +148,23 @@
 	Kept& kept = known->second;
 	switch (_update.fate)
 	{
-	case Fate::NotStarted:
+	case ExecutionResult::NotStarted:
 		kept.claim.state = ClaimState::Released;
 		if (!kept.shared)
 		{
 			m_claims.erase(known);
 		}
 		break;
-	case Fate::Done:
+	case ExecutionResult::Done:
 		kept.claim.state = ClaimState::Done;
 		break;
-	case Fate::Unknown:
+	case ExecutionResult::Unknown:
 		kept.claim.state = ClaimState::Unknown;
 		break;
 	}
 }
 
-bool HomeTable::reassign(const std::string& _key, const AskRef& _old, const AskRef& _new)
+bool HomeTable::reassign(const std::string& _key, const ClaimRequestRef& _old, const ClaimRequestRef& _new)
 {
 	const auto known = m_claims.find(_key);
 	if (m_claims.end() == known || known->second.claim.executor != _old)
@@ -338,7 +338,7 @@
 	return false;
 }
 
-bool HomeTable::isSuspect(const ClaimAsk& _ask) const
+bool HomeTable::isSuspect(const ClaimRequest& _ask) const
 {
 	const Roster& roster = *m_epochs.back().roster;
 	for (const LostMember& lost : roster.lost)
@@ -353,7 +353,7 @@
 	return false;
 }
 
-bool HomeTable::isFree(const Claim& _claim, const ClaimAsk& _ask)
+bool HomeTable::isFree(const Claim& _claim, const ClaimRequest& _ask)
 {
 	if (ClaimState::Released == _claim.state)
 	{
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -68,7 +68,7 @@
 
 void QuotaLedger::configure(const RoutingConfig& _config, Micros _now)
 {
-	onTime(_now);
+	onTick(_now);
 	m_started = std::min(m_started, _now);
 	for (const TeamAccess& access : _config.teams)
 	{
@@ -148,9 +148,9 @@
 	m_liveness.setMembers(_members);
 }
 
-void QuotaLedger::onTime(Micros _now)
+void QuotaLedger::onTick(Micros _now)
 {
-	m_liveness.onTime(_now);
+	m_liveness.onTick(_now);
 }
 
 double QuotaLedger::propagationDelay() const
@@ -273,7 +273,7 @@
 
 void QuotaLedger::advance(Micros _now)
 {
-	onTime(_now);
+	onTick(_now);
 	for (auto& [name, team] : m_teams)
 	{
 		recordSilentShare(team, _now);
@@ -330,7 +330,7 @@
 		team.takenHere += _amount;
 		return {};
 	}
-	onTime(_now);
+	onTick(_now);
 	if (m_liveness.contact(_now) == FleetContact::Resuming)
 	{
 		// The usage of the others during the stall is reported within moments. Without this wait, a third of 77
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -319,7 +319,7 @@
 	/// @returns true if this gateway has started recently and does not know the others' usage yet.
 	bool isStarting(Micros _now) const;
 	/// Detects stalls of this process.
-	void onTime(Micros _now);
+	void onTick(Micros _now);
 	/// Records the share of the rate that is reserved for silent gateways as usage.
 	void recordSilentShare(Team& _team, Micros _now) const;
 	/// Estimates and records the usage in a time that no sums cover, since another collector is followed from now
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -49,7 +49,7 @@
 	{
 		return QuotaRule::Local;
 	}
-	onTime(_now);
+	onTick(_now);
 	Team& team = it->second;
 	const double mean = team.rate.meanAmount() > 0.0 ? team.rate.meanAmount() : _amount;
 	if (m_liveness.members() <= 1 || !isGranted(team, mean))
@@ -74,7 +74,7 @@
 	{
 		return {};
 	}
-	onTime(_now);
+	onTick(_now);
 	Team& team = it->second;
 	recordSilentShare(team, _now);
 	Availability availability = availabilityOf(team, _now);
@@ -102,7 +102,7 @@
 QuotaGrant QuotaLedger::grant(const std::string& _team, double _amount, Micros _now)
 {
 	const auto it = m_teams.find(_team);
-	onTime(_now);
+	onTick(_now);
 	// A limit that this gateway does not know may be in force at the requester.
 	const bool knowsLimit = it != m_teams.end() && it->second.bucket.limited();
 	if (!knowsLimit || isStarting(_now) || m_liveness.contact(_now) != FleetContact::Established)
--- a/src/coordination/quotaledgerreports.cpp
+++ b/src/coordination/quotaledgerreports.cpp
@@ -32,7 +32,7 @@
 	{
 		return;
 	}
-	onTime(_now);
+	onTick(_now);
 	const bool firstHeard = !m_liveness.knows(_peer);
 	const bool isInAdoptedLevels = m_levelsAdopted && _uptime > _now - m_started;
 	if (firstHeard && (isInAdoptedLevels || _uptime > TokenBucket::kHistory))
@@ -102,7 +102,7 @@
 
 void QuotaLedger::onHeard(const std::string& _peer, Micros _now, Micros _proved, std::size_t _gateways)
 {
-	onTime(_now);
+	onTick(_now);
 	recordGap(_now);
 	m_liveness.onHeard(_peer, _now, _proved, _gateways);
 }
@@ -110,7 +110,7 @@
 void QuotaLedger::onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _proved,
 						 std::size_t _gateways)
 {
-	onTime(_now);
+	onTick(_now);
 	recordGap(_now);
 	const std::optional<Micros> unreported = m_liveness.onSums(_group, _source, _now, _proved, _gateways);
 	if (unreported)
--- a/src/daemon/callerside.h
+++ b/src/daemon/calleradapter.h
@@ -19,7 +19,7 @@
 namespace beacongate
 {
 /// Translates for one HttpServer; everything runs on its loop's thread.
-class CallerSide
+class CallerAdapter
 {
 public:
 	/// What the entry tells callers beside their answers.
@@ -30,7 +30,7 @@
 	};
 
 	/// @param[in] _submit Hands an event to the core; false where its ring is full.
-	CallerSide(EntryRef _self, const Facts& _facts, std::function<bool(Event)> _submit);
+	CallerAdapter(EntryRef _self, const Facts& _facts, std::function<bool(Event)> _submit);
 
 	/// Sets the server that answers go to.
 	void setServer(HttpServer& _server);
--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -68,18 +68,18 @@
 void BackendListSync::check()
 {
 	const Micros now = monotonicNow();
-	m_context.storeContact.onHeldUp(std::max<Micros>(0, now - m_due), now);
+	m_context.storeContact.onProcessStalled(std::max<Micros>(0, now - m_due), now);
 	if (m_context.directory.revision() == 0)
 	{
 		schedule(kLookAtStart);
 		return;
 	}
 	const Micros age = m_context.directory.listAge(now);
-	if (age < m_budget.readFrom)
+	if (age < m_budget.listReadAge)
 	{
 		rest(age);
 	}
-	else if (m_context.storeContact.outOfReach(now))
+	else if (m_context.storeContact.isUnreachable(now))
 	{
 		waitOutOfReach(now);
 	}
@@ -92,9 +92,9 @@
 void BackendListSync::rest(Micros _age)
 {
 	noteInReach(_age);
-	m_context.storeContact.onNotNeeded();
+	m_context.storeContact.resetFindings();
 	m_pace.onAnswered();
-	schedule(std::max(kLook, m_budget.readFrom - _age));
+	schedule(std::max(kLook, m_budget.listReadAge - _age));
 }
 
 void BackendListSync::noteInReach(Micros _age)
@@ -117,13 +117,13 @@
 
 void BackendListSync::waitOutOfReach(Micros _now)
 {
-	const StoreContact& contact = m_context.storeContact;
-	m_context.directory.onStoreLost(_now);
+	const StoreReachability& contact = m_context.storeContact;
+	m_context.directory.onStoreUnreachable(_now);
 	if (!m_outOfReach)
 	{
 		m_outOfReach = true;
 		logEvent(LogLevel::Warning, "store-out-of-reach",
-				 {{"cause", contact.turnedAway() ? "turned-away" : "silent"},
+				 {{"cause", contact.rejectsReads() ? "turned-away" : "silent"},
 				  {"silent_ms", millisText(contact.silence(_now))},
 				  {"list_age_ms", millisText(m_context.directory.listAge(_now))}});
 		// Their connections may be dead, and would keep later reads from beginning.
@@ -161,14 +161,14 @@
 
 void BackendListSync::startProbe(Micros _now)
 {
-	m_pace.onBegun(_now);
+	m_pace.onReadStarted(_now);
 	m_probing = true;
 	if (!m_probe)
 	{
 		m_probe = std::make_shared<RangeReader>(m_context.loop, m_context.storeContact, m_context.settings.store,
 												std::string(kHolderKey), kLongest);
 	}
-	m_probe->read(m_budget.listLife,
+	m_probe->read(m_budget.maxListAge,
 				  [self = shared_from_this()](const std::optional<StoreContent>& _content)
 				  {
 					  self->m_probing = false;
@@ -181,7 +181,7 @@
 
 void BackendListSync::startRead(Micros _now)
 {
-	m_pace.onBegun(_now);
+	m_pace.onReadStarted(_now);
 	ReaderPtr reader = std::exchange(m_spare, nullptr);
 	if (!reader)
 	{
@@ -190,7 +190,7 @@
 	}
 	m_reads.push_back(reader);
 	// An answer that takes longer would bring a list that is too old to send by.
-	reader->read(m_budget.listLife,
+	reader->read(m_budget.maxListAge,
 				 [self = shared_from_this(), weak = std::weak_ptr<RangeReader>(reader)](
 					 std::optional<StoreContent> _content) { self->onList(weak.lock(), std::move(_content)); });
 }
--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -21,14 +21,14 @@
 	return EntryRef{_json.at(0).get<std::string>(), _json.at(1).get<std::uint64_t>()};
 }
 
-Json encode(const AskRef& _ask)
+Json encode(const ClaimRequestRef& _ask)
 {
 	return Json::array({_ask.entry.id, _ask.entry.incarnation, _ask.number});
 }
 
-AskRef decodeAsk(const Json& _json)
+ClaimRequestRef decodeAsk(const Json& _json)
 {
-	return AskRef{decodeEntry(_json), _json.at(2).get<std::uint64_t>()};
+	return ClaimRequestRef{decodeEntry(_json), _json.at(2).get<std::uint64_t>()};
 }
 
 template <typename Enum> Enum decodeEnum(const Json& _json, Enum _last)
@@ -113,7 +113,7 @@
 	return answer;
 }
 
-Json encodeMessage(const ClaimAsk& _m)
+Json encodeMessage(const ClaimRequest& _m)
 {
 	Json json{{"t", "ask"},     {"ask", encode(_m.ask)}, {"k", _m.key},
 			  {"d", _m.digest}, {"v", _m.rosterVersion}, {"i", _m.issuedVersion}};
@@ -155,7 +155,7 @@
 	return {{"t", "sealed"}, {"v", _m.version}};
 }
 
-Json encodeMessage(const AttachAsk& _m)
+Json encodeMessage(const AttachRequest& _m)
 {
 	return {{"t", "attach"}, {"n", _m.attach}, {"k", _m.key}, {"x", encode(_m.executor)}, {"o", _m.offset}};
 }
@@ -226,9 +226,9 @@
 	return handover;
 }
 
-ClaimAsk decodeClaimAsk(const Json& _json)
+ClaimRequest decodeClaimAsk(const Json& _json)
 {
-	ClaimAsk ask;
+	ClaimRequest ask;
 	ask.ask = decodeAsk(_json.at("ask"));
 	ask.key = _json.at("k").get<std::string>();
 	ask.digest = _json.at("d").get<std::uint64_t>();
@@ -257,7 +257,7 @@
 	ClaimUpdate update;
 	update.key = _json.at("k").get<std::string>();
 	update.executor = decodeAsk(_json.at("x"));
-	update.fate = decodeEnum(_json.at("f"), Fate::Unknown);
+	update.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	if (_json.contains("a"))
 	{
 		update.answer = decodeAnswer(_json.at("a"));
@@ -276,9 +276,9 @@
 	return seal;
 }
 
-AttachAsk decodeAttachAsk(const Json& _json)
+AttachRequest decodeAttachAsk(const Json& _json)
 {
-	AttachAsk ask;
+	AttachRequest ask;
 	ask.attach = _json.at("n").get<std::uint64_t>();
 	ask.key = _json.at("k").get<std::string>();
 	ask.executor = decodeAsk(_json.at("x"));
@@ -299,7 +299,7 @@
 {
 	AttachEnd end;
 	end.attach = _json.at("n").get<std::uint64_t>();
-	end.fate = decodeEnum(_json.at("f"), Fate::Unknown);
+	end.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	end.kept = _json.at("kept").get<bool>();
 	end.answer = decodeAnswer(_json.at("a"));
 	end.tokenCount = _json.at("c").get<std::uint64_t>();
--- a/src/protocol/statedump.cpp
+++ b/src/protocol/statedump.cpp
@@ -79,7 +79,7 @@
 	{
 		return "drained";
 	}
-	return _now < _backend.refusedUntil ? "failing" : "ready";
+	return _now < _backend.backoffUntil ? "failing" : "ready";
 }
 
 Json backendRows(const EntryCore& _core, Micros _now)
@@ -295,7 +295,7 @@
 	return parsed;
 }
 
-std::string metricsOf(const EntryCore& _core)
+std::string formatEntryMetrics(const EntryCore& _core)
 {
 	std::ostringstream text;
 	const Json stats = statsOf(_core.stats());
--- a/tests/hometabletest.cpp
+++ b/tests/hometabletest.cpp
@@ -62,10 +62,11 @@
 	return {};
 }
 
-ClaimAsk askOf(const std::string& _asker, std::uint64_t _number, const std::string& _key, std::uint64_t _issued = 0)
+ClaimRequest askOf(const std::string& _asker, std::uint64_t _number, const std::string& _key,
+				   std::uint64_t _issued = 0)
 {
-	ClaimAsk ask;
-	ask.ask = AskRef{entry(_asker), _number};
+	ClaimRequest ask;
+	ask.ask = ClaimRequestRef{entry(_asker), _number};
 	ask.key = _key;
 	ask.issuedVersion = _issued;
 	return ask;
@@ -129,7 +130,7 @@
 	c.adopt(shared(three), {}, 0);
 	a.ask(askOf("x", 1, key), 0);
 	carry(a.adopt(shared(two), {}, 0), "a", "b", b);
-	b.update(ClaimUpdate{key, AskRef{entry("x"), 1}, Fate::NotStarted, {}});
+	b.update(ClaimUpdate{key, ClaimRequestRef{entry("x"), 1}, ExecutionResult::NotStarted, {}});
 	ASSERT_EQ(ClaimVerdict::Granted, b.ask(askOf("y", 1, key), 0).verdict) << "given back, so free";
 	// Both orders of the two seals have to end with the newer claim.
 	HomeTable d = c;
@@ -141,8 +142,8 @@
 	carry(fromA, "a", "c", d);
 	for (HomeTable* table : {&c, &d})
 	{
-		ClaimAsk ask = askOf("z", 1, key);
-		ask.released = AskRef{entry("x"), 1}; // True, and of no use: y holds the key now.
+		ClaimRequest ask = askOf("z", 1, key);
+		ask.released = ClaimRequestRef{entry("x"), 1}; // True, and of no use: y holds the key now.
 		const ClaimReply reply = table->ask(ask, 0);
 		EXPECT_EQ(ClaimVerdict::Held, reply.verdict);
 		EXPECT_EQ(entry("y"), reply.claim.executor.entry);
@@ -161,8 +162,8 @@
 	a.ask(askOf("x", 1, key), 0);
 	a.adopt(shared(two), {}, 0);
 	a.adopt(shared(three), {}, 0);
-	ClaimAsk ask = askOf("z", 1, key, one.version);
-	ask.released = AskRef{entry("x"), 1};
+	ClaimRequest ask = askOf("z", 1, key, one.version);
+	ask.released = ClaimRequestRef{entry("x"), 1};
 	EXPECT_EQ(ClaimVerdict::Suspect, a.ask(ask, 0).verdict);
 	const std::string young = keyWithHomes({{two, "b"}, {three, "a"}});
 	EXPECT_EQ(ClaimVerdict::Granted, a.ask(askOf("z", 2, young + "-new", three.version), 0).verdict);
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -125,13 +125,13 @@
 	FleetLiveness liveness;
 	liveness.setMembers(3);
 	const Micros start = kSecond;
-	liveness.onTime(start);
+	liveness.onTick(start);
 	EXPECT_EQ(liveness.contact(start), FleetContact::Lost) << "no source was ever heard";
 	liveness.onHeard("a", start, start, 1);
 	liveness.onHeard("b", start, start, 1);
 	EXPECT_EQ(liveness.contact(start), FleetContact::Established);
 	const Micros resumed = start + 2 * kSecond;
-	liveness.onTime(resumed);
+	liveness.onTick(resumed);
 	EXPECT_EQ(liveness.contact(resumed), FleetContact::Resuming);
 	liveness.onHeard("a", resumed, resumed - kSecond, 1);
 	EXPECT_EQ(liveness.contact(resumed), FleetContact::Resuming)
@@ -142,7 +142,7 @@
 	const Micros late = resumed + FleetLiveness::kResumeTimeout + FleetLiveness::kSilenceTimeout + 1;
 	for (Micros now = resumed; now < late; now += 100 * kMillisecond)
 	{
-		liveness.onTime(now);
+		liveness.onTick(now);
 	}
 	EXPECT_EQ(liveness.contact(late), FleetContact::Lost);
 	EXPECT_GT(liveness.silentShare(late), 0.6);
