--- a/src/daemon/backendside.cpp
+++ b/src/daemon/backendadapter.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "daemon/backendside.h"
+#include "daemon/backendadapter.h"
 
 #include "beacongate/limits.h"
 #include "protocol/json.h"
@@ -22,7 +22,7 @@
 constexpr std::string_view kNotTaken = "Beacongate-Not-Taken";
 } // namespace
 
-BackendSide::BackendSide(IoLoop& _loop, std::function<bool(Event)> _submit)
+BackendAdapter::BackendAdapter(IoLoop& _loop, std::function<bool(Event)> _submit)
 	: m_submit(std::move(_submit)),
 	  m_client(_loop,
 			   HttpClientHandlers{[this](std::uint64_t _id, unsigned _status)
@@ -43,7 +43,7 @@
 {
 }
 
-void BackendSide::apply(Action& _action, Micros _now)
+void BackendAdapter::apply(Action& _action, Micros _now)
 {
 	if (const StartAttempt* begin = std::get_if<StartAttempt>(&_action))
 	{
@@ -57,7 +57,7 @@
 	}
 }
 
-void BackendSide::start(const StartAttempt& _start, Micros _now)
+void BackendAdapter::start(const StartAttempt& _start, Micros _now)
 {
 	const CallPayload& payload = *_start.payload;
 	Attempt attempt;
@@ -85,7 +85,7 @@
 	m_client.start(std::move(call));
 }
 
-void BackendSide::onData(AttemptId _id, const std::string& _bytes)
+void BackendAdapter::onData(AttemptId _id, const std::string& _bytes)
 {
 	const auto it = m_attempts.find(_id);
 	if (m_attempts.end() == it)
@@ -109,7 +109,7 @@
 	}
 }
 
-void BackendSide::readEvents(AttemptId _id, Attempt& _attempt, const std::string& _bytes)
+void BackendAdapter::readEvents(AttemptId _id, Attempt& _attempt, const std::string& _bytes)
 {
 	AttemptTokens tokens;
 	tokens.attempt = _id;
@@ -148,7 +148,7 @@
 	}
 }
 
-void BackendSide::onEnd(AttemptId _id, HttpAnswer& _answer)
+void BackendAdapter::onEnd(AttemptId _id, HttpAnswer& _answer)
 {
 	if (_id >= kFirstLoadCall)
 	{
@@ -178,7 +178,7 @@
 	fail(_id, refused ? AttemptFault::Refused : AttemptFault::Broken, attempt.status, attempt.errorBody);
 }
 
-void BackendSide::onFail(AttemptId _id, HttpFault _fault)
+void BackendAdapter::onFail(AttemptId _id, HttpFault _fault)
 {
 	if (_id >= kFirstLoadCall)
 	{
@@ -188,7 +188,7 @@
 	fail(_id, HttpFault::NotSent == _fault ? AttemptFault::NotSent : AttemptFault::Broken);
 }
 
-void BackendSide::fail(AttemptId _id, AttemptFault _fault, unsigned _status, std::string _body)
+void BackendAdapter::fail(AttemptId _id, AttemptFault _fault, unsigned _status, std::string _body)
 {
 	m_attempts.erase(_id);
 	AttemptFailed failed{_id, _fault, _status, std::move(_body)};
@@ -198,7 +198,7 @@
 	}
 }
 
-void BackendSide::submit(AttemptId _id, Event _event)
+void BackendAdapter::submit(AttemptId _id, Event _event)
 {
 	if (!m_attempts.contains(_id) || m_submit(std::move(_event)))
 	{
@@ -209,7 +209,7 @@
 	fail(_id, AttemptFault::Broken);
 }
 
-void BackendSide::retrySubmits()
+void BackendAdapter::retrySubmits()
 {
 	while (!m_unsent.empty() && m_submit(m_unsent.front()))
 	{
@@ -217,7 +217,7 @@
 	}
 }
 
-void BackendSide::pollLoad(const std::vector<std::pair<std::string, Address>>& _backends)
+void BackendAdapter::pollLoad(const std::vector<std::pair<std::string, Address>>& _backends)
 {
 	for (const auto& [id, address] : _backends)
 	{
@@ -232,7 +232,7 @@
 	}
 }
 
-void BackendSide::onLoad(std::uint64_t _call, const HttpAnswer& _answer)
+void BackendAdapter::onLoad(std::uint64_t _call, const HttpAnswer& _answer)
 {
 	const auto node = m_loadCalls.extract(_call);
 	const Json json = Json::parse(_answer.body, nullptr, false);
--- a/src/daemon/backendside.h
+++ b/src/daemon/backendadapter.h
@@ -4,8 +4,8 @@
 /// @file
 /// The backend servers' side of an entry: attempts become HTTP calls, answers become events.
 
-#ifndef BEACONGATE_DAEMON_BACKENDSIDE_H
-#define BEACONGATE_DAEMON_BACKENDSIDE_H
+#ifndef BEACONGATE_DAEMON_BACKENDADAPTER_H
+#define BEACONGATE_DAEMON_BACKENDADAPTER_H
 
 #include "coordination/events.h"
 #include "protocol/openai.h"
@@ -18,11 +18,11 @@
 namespace beacongate
 {
 /// Translates for one HttpClient; everything runs on its loop's thread.
-class BackendSide
+class BackendAdapter
 {
 public:
 	/// @param[in] _submit Hands an event to the core; false where its ring is full.
-	BackendSide(IoLoop& _loop, std::function<bool(Event)> _submit);
+	BackendAdapter(IoLoop& _loop, std::function<bool(Event)> _submit);
 
 	/// Starts or cancels an attempt; other actions are ignored.
 	void apply(Action& _action, Micros _now);
@@ -64,4 +64,4 @@
 
 } // namespace beacongate
 
-#endif // BEACONGATE_DAEMON_BACKENDSIDE_H
+#endif // BEACONGATE_DAEMON_BACKENDADAPTER_H
--- a/src/daemon/callerside.cpp
+++ b/src/daemon/calleradapter.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "daemon/callerside.h"
+#include "daemon/calleradapter.h"
 
 #include "beacongate/limits.h"
 #include "protocol/statedump.h"
@@ -74,21 +74,21 @@
 }
 } // namespace
 
-CallerSide::CallerSide(EntryRef _self, const Facts& _facts, std::function<bool(Event)> _submit)
-	: m_self(std::move(_self)), m_facts(_facts), m_submit(std::move(_submit))
+CallerAdapter::CallerAdapter(EntryRef _self, const EntryStatus& _entryStatus, std::function<bool(Event)> _submit)
+	: m_self(std::move(_self)), m_entryStatus(_entryStatus), m_submit(std::move(_submit))
 {
 }
 
-void CallerSide::setServer(HttpServer& _server)
+void CallerAdapter::setServer(HttpServer& _server)
 {
 	m_server = &_server;
 }
 
-void CallerSide::onRequest(ExchangeId _exchange, HttpRequest&& _request)
+void CallerAdapter::onRequest(ExchangeId _exchange, HttpRequest&& _request)
 {
 	if ("GET" == _request.method && "/health" == _request.target)
 	{
-		const bool healthy = m_facts.healthy;
+		const bool healthy = m_entryStatus.healthy;
 		m_server->send(_exchange, HttpAnswer{healthy ? 200u : 503u, {}, healthy ? "ok\n" : "stopping\n"});
 		return;
 	}
@@ -125,8 +125,8 @@
 	}
 }
 
-CallerRequest CallerSide::readModel(OpenAiEndpoint _endpoint, const HttpRequest& _request,
-									Exchange& _exchange) const
+CallerRequest CallerAdapter::readModel(OpenAiEndpoint _endpoint, const HttpRequest& _request,
+									   Exchange& _exchange) const
 {
 	if ("POST" != _request.method)
 	{
@@ -147,7 +147,7 @@
 	return event;
 }
 
-CallerRequest CallerSide::readPlain(const HttpRequest& _request) const
+CallerRequest CallerAdapter::readPlain(const HttpRequest& _request) const
 {
 	const std::string rest = _request.target.substr(kServices.size());
 	const std::size_t slash = std::min(rest.find('/'), rest.size());
@@ -164,7 +164,7 @@
 	return event;
 }
 
-void CallerSide::onGone(ExchangeId _exchange)
+void CallerAdapter::onDisconnected(ExchangeId _exchange)
 {
 	if (0 != m_exchanges.erase(_exchange))
 	{
@@ -173,12 +173,12 @@
 	}
 }
 
-HttpAnswer CallerSide::onMalformed(Failure _failure, const std::string& _detail) const
+HttpAnswer CallerAdapter::onMalformed(Failure _failure, const std::string& _detail) const
 {
 	return failureAnswer(_failure, Outcome::NotRun, _detail, 0, m_self.id);
 }
 
-void CallerSide::apply(Action& _action)
+void CallerAdapter::apply(Action& _action)
 {
 	std::visit(
 		[this](auto& _item)
@@ -191,12 +191,13 @@
 		_action);
 }
 
-HttpHeaders CallerSide::commonHeaders(const std::string& _name) const
+HttpHeaders CallerAdapter::commonHeaders(const std::string& _name) const
 {
-	return {{"Beacongate-Request-Id", _name}, {"Beacongate-Roster-Version", std::to_string(m_facts.rosterVersion)}};
+	return {{"Beacongate-Request-Id", _name},
+			{"Beacongate-Roster-Version", std::to_string(m_entryStatus.rosterVersion)}};
 }
 
-void CallerSide::startStream(ExchangeId _id, Exchange& _exchange)
+void CallerAdapter::startStream(ExchangeId _id, Exchange& _exchange)
 {
 	if (_exchange.started)
 	{
@@ -210,7 +211,7 @@
 	m_server->startStream(_id, 200, std::move(headers));
 }
 
-void CallerSide::on(AnswerTokens& _action)
+void CallerAdapter::on(AnswerTokens& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	if (m_exchanges.end() == it)
@@ -238,7 +239,7 @@
 	m_server->sendChunk(_action.exchange, std::move(events));
 }
 
-void CallerSide::on(AnswerEnd& _action)
+void CallerAdapter::on(AnswerEnd& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	if (m_exchanges.end() == it)
@@ -266,7 +267,7 @@
 	m_server->send(_action.exchange, std::move(answer));
 }
 
-void CallerSide::on(AnswerWhole& _action)
+void CallerAdapter::on(AnswerWhole& _action)
 {
 	m_exchanges.erase(_action.exchange);
 	HttpAnswer answer;
@@ -281,7 +282,7 @@
 	m_server->send(_action.exchange, std::move(answer));
 }
 
-void CallerSide::on(AnswerMoved& _action)
+void CallerAdapter::on(AnswerMoved& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	if (m_exchanges.end() == it)
@@ -311,7 +312,7 @@
 	m_server->send(_action.exchange, std::move(answer));
 }
 
-void CallerSide::on(AnswerFailure& _action)
+void CallerAdapter::on(AnswerFailure& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	const bool started = m_exchanges.end() != it && it->second.started;
@@ -329,8 +330,8 @@
 	m_server->endStream(_action.exchange, {{"Beacongate-Outcome", std::string(toString(_action.outcome))}});
 }
 
-HttpAnswer CallerSide::failureAnswer(Failure _failure, Outcome _outcome, const std::string& _detail,
-									 Micros _retryAfter, const std::string& _name) const
+HttpAnswer CallerAdapter::failureAnswer(Failure _failure, Outcome _outcome, const std::string& _detail,
+										Micros _retryAfter, const std::string& _name) const
 {
 	HttpAnswer answer;
 	answer.status = failureInfo(_failure).status;
--- a/src/daemon/callerside.h
+++ b/src/daemon/calleradapter.h
@@ -4,8 +4,8 @@
 /// @file
 /// The callers' side of an entry: HTTP requests become events, answers become HTTP.
 
-#ifndef BEACONGATE_DAEMON_CALLERSIDE_H
-#define BEACONGATE_DAEMON_CALLERSIDE_H
+#ifndef BEACONGATE_DAEMON_CALLERADAPTER_H
+#define BEACONGATE_DAEMON_CALLERADAPTER_H
 
 #include "coordination/events.h"
 #include "protocol/openai.h"
@@ -19,24 +19,24 @@
 namespace beacongate
 {
 /// Translates for one HttpServer; everything runs on its loop's thread.
-class CallerSide
+class CallerAdapter
 {
 public:
 	/// What the entry tells callers beside their answers.
-	struct Facts
+	struct EntryStatus
 	{
 		std::atomic<bool> healthy = false;
 		std::atomic<std::uint64_t> rosterVersion = 0;
 	};
 
 	/// @param[in] _submit Hands an event to the core; false where its ring is full.
-	CallerSide(EntryRef _self, const Facts& _facts, std::function<bool(Event)> _submit);
+	CallerAdapter(EntryRef _self, const EntryStatus& _entryStatus, std::function<bool(Event)> _submit);
 
 	/// Sets the server that answers go to.
 	void setServer(HttpServer& _server);
 
 	void onRequest(ExchangeId _exchange, HttpRequest&& _request);
-	void onGone(ExchangeId _exchange);
+	void onDisconnected(ExchangeId _exchange);
 	HttpAnswer onMalformed(Failure _failure, const std::string& _detail) const;
 
 	/// Carries out an action; those that are not for callers are ignored.
@@ -67,7 +67,7 @@
 	HttpHeaders commonHeaders(const std::string& _name) const;
 
 	EntryRef m_self;
-	const Facts& m_facts;
+	const EntryStatus& m_entryStatus;
 	std::function<bool(Event)> m_submit;
 	HttpServer* m_server = nullptr;
 	std::unordered_map<ExchangeId, Exchange> m_exchanges;
@@ -75,4 +75,4 @@
 
 } // namespace beacongate
 
-#endif // BEACONGATE_DAEMON_CALLERSIDE_H
+#endif // BEACONGATE_DAEMON_CALLERADAPTER_H
--- a/src/daemon/entryapp.cpp
+++ b/src/daemon/entryapp.cpp
@@ -36,15 +36,15 @@
 EntryApp::EntryApp(EntryOptions _options)
 	: m_options(std::move(_options)), m_self{m_options.id, newIncarnation()},
 	  m_core(coreSettings(m_options, m_self)),
-	  m_callerSide(m_self, m_facts, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
-	  m_backendSide(m_backendLoop, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
+	  m_callerAdapter(m_self, m_entryStatus, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
+	  m_backendAdapter(m_backendLoop, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
 	  m_callerServer(m_callerLoop,
 					 HttpServerHandlers{[this](ExchangeId _id, HttpRequest&& _request)
-										{ m_callerSide.onRequest(_id, std::move(_request)); },
-										[this](ExchangeId _id) { m_callerSide.onGone(_id); },
+										{ m_callerAdapter.onRequest(_id, std::move(_request)); },
+										[this](ExchangeId _id) { m_callerAdapter.onDisconnected(_id); },
 										[this](Failure _failure, const std::string& _detail)
 										{
-											return m_callerSide.onMalformed(_failure, _detail);
+											return m_callerAdapter.onMalformed(_failure, _detail);
 										}},
 					 limits::kRequestBodyBytes),
 	  m_internalServer(m_internalLoop,
@@ -84,7 +84,7 @@
 				  {
 					  for (const auto& action : _batch)
 					  {
-						  m_callerSide.apply(*action);
+						  m_callerAdapter.apply(*action);
 					  }
 				  }),
 	  m_toBackends(m_backendLoop,
@@ -92,12 +92,12 @@
 				   {
 					   for (const auto& action : _batch)
 					   {
-						   m_backendSide.apply(*action, monotonicNow());
+						   m_backendAdapter.apply(*action, monotonicNow());
 					   }
 				   }),
 	  m_toPeers(m_internalLoop, [this](std::vector<std::unique_ptr<Action>>& _batch) { sendPeers(_batch); })
 {
-	m_callerSide.setServer(m_callerServer);
+	m_callerAdapter.setServer(m_callerServer);
 }
 
 EntryApp::~EntryApp()
@@ -241,8 +241,8 @@
 	reported.stopping = m_core.stopping();
 	reported.drained = m_core.drained();
 	std::string text = toJson(reported).dump();
-	m_facts.healthy = m_core.healthy();
-	m_facts.rosterVersion = reported.versions.roster;
+	m_entryStatus.healthy = m_core.healthy();
+	m_entryStatus.rosterVersion = reported.versions.roster;
 	const std::lock_guard lock(m_reportMutex);
 	if (text == m_report)
 	{
@@ -372,8 +372,8 @@
 		const std::lock_guard lock(m_reportMutex);
 		targets = m_loadTargets;
 	}
-	m_backendSide.retrySubmits();
-	m_backendSide.pollLoad(targets);
+	m_backendAdapter.retrySubmits();
+	m_backendAdapter.pollLoad(targets);
 	m_backendLoop.after(kLoadPollSpan, [this] { pollLoad(); });
 }
 
--- a/src/daemon/entryapp.h
+++ b/src/daemon/entryapp.h
@@ -8,8 +8,8 @@
 #define BEACONGATE_DAEMON_ENTRYAPP_H
 
 #include "coordination/entrycore.h"
-#include "daemon/backendside.h"
-#include "daemon/callerside.h"
+#include "daemon/backendadapter.h"
+#include "daemon/calleradapter.h"
 #include "daemon/corequeue.h"
 #include "protocol/json.h"
 #include "transport/httpclient.h"
@@ -82,13 +82,13 @@
 	EntryRef m_self;
 	EntryCore m_core; ///< Of the core thread alone.
 	CoreQueue<EntryCore, Event> m_queue;
-	CallerSide::Facts m_facts;
+	CallerAdapter::EntryStatus m_entryStatus;
 
 	IoLoop m_callerLoop;
 	IoLoop m_backendLoop;
 	IoLoop m_internalLoop;
-	CallerSide m_callerSide;
-	BackendSide m_backendSide;
+	CallerAdapter m_callerAdapter;
+	BackendAdapter m_backendAdapter;
 	HttpServer m_callerServer;
 	HttpServer m_internalServer;
 	HttpClient m_peerClient;
