--- a/src/daemon/controlapp.cpp
+++ b/src/daemon/controlapp.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 ControlApp::ControlApp(ControlOptions _options)
-	: m_options(std::move(_options)), m_core(m_options.core, jsonDocuments()),
+	: m_options(std::move(_options)), m_core(m_options.core, jsonDocumentCodec()),
 	  m_server(m_loop,
 			   HttpServerHandlers{[this](ExchangeId _id, HttpRequest&& _request)
 								  {
--- a/src/protocol/documents.cpp
+++ b/src/protocol/documents.cpp
@@ -56,7 +56,7 @@
 }
 } // namespace
 
-DocumentCodec jsonDocuments()
+DocumentCodec jsonDocumentCodec()
 {
 	return DocumentCodec{readConfigText, editConfigText, readRosterText, writeRosterText};
 }
--- a/src/protocol/documents.h
+++ b/src/protocol/documents.h
@@ -12,7 +12,7 @@
 namespace beacongate
 {
 /// @returns the codec for this project's JSON documents.
-DocumentCodec jsonDocuments();
+DocumentCodec jsonDocumentCodec();
 
 } // namespace beacongate
 
--- a/tests/controltest.cpp
+++ b/tests/controltest.cpp
@@ -53,7 +53,7 @@
 			{
 				settings.seeds.push_back(Address{"127.0.0.1", static_cast<std::uint16_t>(2000 + other)});
 			}
-			cores.push_back(std::make_unique<ControlCore>(settings, jsonDocuments()));
+			cores.push_back(std::make_unique<ControlCore>(settings, jsonDocumentCodec()));
 			frozen.push_back(false);
 			cutFromStore.push_back(false);
 			entries.push_back(EntryReported{EntryRef{settings.id, 1}, {}, false, false});
@@ -144,7 +144,7 @@
 	std::uint64_t storedVersion() const
 	{
 		const auto it = values.find("/beacongate/config");
-		return values.end() == it ? 0 : jsonDocuments().readConfig(it->second.text).config->version;
+		return values.end() == it ? 0 : jsonDocumentCodec().readConfig(it->second.text).config->version;
 	}
 
 	Micros now = kSecond;
--- a/tests/protocoltest.cpp
+++ b/tests/protocoltest.cpp
@@ -130,30 +130,30 @@
 		 "backends[0]: '127.0.0.1:70000' is no IP number and port (IP:port)"}};
 	for (const auto& item : cases)
 	{
-		const auto [failure, told] = failureOf([&] { jsonDocuments().readConfig(item.first); });
+		const auto [failure, told] = failureOf([&] { jsonDocumentCodec().readConfig(item.first); });
 		EXPECT_EQ(Failure::ConfigInvalid, failure);
 		EXPECT_EQ(item.second, told);
 	}
-	EXPECT_EQ(3u, jsonDocuments().readConfig(kDocument).config->version);
+	EXPECT_EQ(3u, jsonDocumentCodec().readConfig(kDocument).config->version);
 }
 
 TEST(ConfigDoc, aDocumentWithALowerVersionIsRefused)
 {
 	const auto apply = []
 	{
-		jsonDocuments().editConfig(kDocument, "apply " + changed("\"version\": 3", "\"version\": 2"), "c");
+		jsonDocumentCodec().editConfig(kDocument, "apply " + changed("\"version\": 3", "\"version\": 2"), "c");
 	};
 	EXPECT_EQ(Failure::ConfigStale, failureOf(apply).first);
 }
 
 TEST(ConfigDoc, aChangeRaisesTheVersionAndIsNoted)
 {
-	const ConfigDoc next = jsonDocuments().editConfig(kDocument, "set team a weight 5", "c1");
+	const ConfigDoc next = jsonDocumentCodec().editConfig(kDocument, "set team a weight 5", "c1");
 	EXPECT_EQ(4u, next.config->version);
 	EXPECT_EQ(5.0, next.config->teams[0].weight);
 	EXPECT_EQ(std::vector<std::string>{"c1"}, next.history);
-	EXPECT_TRUE(jsonDocuments().editConfig(next.text, "drain backend b1", "c2").config->backends[0].drained);
-	EXPECT_TRUE(jsonDocuments().editConfig(next.text, "remove backend b1", "c2").config->backends.empty());
+	EXPECT_TRUE(jsonDocumentCodec().editConfig(next.text, "drain backend b1", "c2").config->backends[0].drained);
+	EXPECT_TRUE(jsonDocumentCodec().editConfig(next.text, "remove backend b1", "c2").config->backends.empty());
 }
 
 TEST(Query, saysWhichWordIsWrong)
@@ -170,7 +170,7 @@
 	}
 	const auto unknown = []
 	{
-		jsonDocuments().editConfig(kDocument, "set team nobody weight 5", "c1");
+		jsonDocumentCodec().editConfig(kDocument, "set team nobody weight 5", "c1");
 	};
 	EXPECT_EQ("there is no 'nobody' in teams", failureOf(unknown).second);
 }
--- a/tools/bench.cpp
+++ b/tools/bench.cpp
@@ -285,7 +285,7 @@
 		exchange.from = Address{"10.20.30.40", 9001};
 		exchange.versions = VersionSet{7200, 300, 12'345'678'901'234'567u};
 		const double idle = static_cast<double>(rpcRequest("exchange", toJson(exchange).dump()).size());
-		exchange.rosterText = jsonDocuments().writeRoster(*makeRoster(members));
+		exchange.rosterText = jsonDocumentCodec().writeRoster(*makeRoster(members));
 		const double news = static_cast<double>(rpcRequest("exchange", toJson(exchange).dump()).size());
 		std::printf("| exchange of two controls, body at %zu members | idle: %.0f B, with a roster: %.0f B | |\n",
 					members, idle, news);
@@ -320,9 +320,9 @@
 									   HomeTable table(roster->members[0].entry);
 									   table.adopt(roster, {}, 0);
 								   })});
-		const std::string json = jsonDocuments().writeRoster(*roster);
+		const std::string json = jsonDocumentCodec().writeRoster(*roster);
 		text.push_back({size, static_cast<double>(json.size())});
-		parse.push_back({size, microsOf([&] { jsonDocuments().readRoster(json); })});
+		parse.push_back({size, microsOf([&] { jsonDocumentCodec().readRoster(json); })});
 	}
 	report("home of a key by roster size", "member", "us", home);
 	report("adopting a roster without claims, with its seals", "member", "us", adopt);
@@ -372,9 +372,9 @@
 		}
 		const std::string text = json.dump();
 		bytes.push_back({size, static_cast<double>(text.size())});
-		time.push_back({size, microsOf([&] { jsonDocuments().readConfig(text); })});
+		time.push_back({size, microsOf([&] { jsonDocumentCodec().readConfig(text); })});
 		memory.push_back(
-			{size, bytesOf([&] { return std::make_shared<ConfigDoc>(jsonDocuments().readConfig(text)); })});
+			{size, bytesOf([&] { return std::make_shared<ConfigDoc>(jsonDocumentCodec().readConfig(text)); })});
 	}
 	report("configuration document", "backend server", "B", bytes);
 	report("reading and checking it", "backend server", "us", time);
