--- a/src/protocol/configdoc.cpp
+++ b/src/protocol/configdoc.cpp
@@ -230,7 +230,7 @@
 					   { return _item.is_string() && _item.get_ref<const std::string&>() == _changeId; });
 }
 
-void stampChange(Json& _document, std::string_view _changeId)
+void recordChange(Json& _document, std::string_view _changeId)
 {
 	_document["version"] = versionOf(_document) + 1;
 	Json& history = _document["history"];
--- a/src/protocol/configdoc.h
+++ b/src/protocol/configdoc.h
@@ -31,7 +31,7 @@
 bool hasChange(const Json& _document, std::string_view _changeId);
 
 /// Raises the version by one and notes the change id in the history.
-void stampChange(Json& _document, std::string_view _changeId);
+void recordChange(Json& _document, std::string_view _changeId);
 
 /// @returns the document's version, 0 where there is none.
 std::uint64_t versionOf(const Json& _document);
--- a/src/protocol/documents.cpp
+++ b/src/protocol/documents.cpp
@@ -38,7 +38,7 @@
 {
 	const Json base = _base.empty() ? Json::object() : parseJson(_base, Failure::ConfigInvalid);
 	Json next = applyChange(base, _statement);
-	stampChange(next, _changeId);
+	recordChange(next, _changeId);
 	return makeConfigDoc(next, next.dump());
 }
 
