--- a/src/daemon/calleradapter.cpp
+++ b/src/daemon/calleradapter.cpp
@@ -262,8 +262,8 @@
 	answer.headers = commonHeaders(name);
 	answer.headers.push_back(outcome.front());
 	answer.headers.emplace_back("Content-Type", "application/json");
-	answer.body = wholeAnswer(exchange.endpoint, exchange.modelName, name, exchange.text, _action.promptTokens,
-							  _action.completionTokens);
+	answer.body = completionBody(exchange.endpoint, exchange.modelName, name, exchange.text, _action.promptTokens,
+								 _action.completionTokens);
 	m_server->send(_action.exchange, std::move(answer));
 }
 
--- a/src/protocol/openai.cpp
+++ b/src/protocol/openai.cpp
@@ -175,8 +175,8 @@
 	return "event: error\ndata: " + dump(_problem) + "\n\n";
 }
 
-std::string wholeAnswer(OpenAiEndpoint _endpoint, std::string_view _model, std::string_view _requestId,
-						std::string_view _text, std::uint64_t _promptTokens, std::uint64_t _completionTokens)
+std::string completionBody(OpenAiEndpoint _endpoint, std::string_view _model, std::string_view _requestId,
+						   std::string_view _text, std::uint64_t _promptTokens, std::uint64_t _completionTokens)
 {
 	Json answer = chunkBase(_endpoint, _model, _requestId, false);
 	Json choice{{"index", 0}, {"finish_reason", "stop"}};
--- a/src/protocol/openai.h
+++ b/src/protocol/openai.h
@@ -54,8 +54,8 @@
 std::string errorEvent(const Json& _problem);
 
 /// @returns the whole answer for a caller that did not ask for a stream.
-std::string wholeAnswer(OpenAiEndpoint _endpoint, std::string_view _model, std::string_view _requestId,
-						std::string_view _text, std::uint64_t _promptTokens, std::uint64_t _completionTokens);
+std::string completionBody(OpenAiEndpoint _endpoint, std::string_view _model, std::string_view _requestId,
+						   std::string_view _text, std::uint64_t _promptTokens, std::uint64_t _completionTokens);
 
 /// One server-sent event.
 struct SseEvent
