--- a/src/daemon/entryapp.cpp
+++ b/src/daemon/entryapp.cpp
@@ -335,7 +335,7 @@
 	}
 	if ("GET" == _request.method && "/metrics" == _request.target)
 	{
-		const std::string text = m_queue.ask([](const EntryCore& _core) { return metricsOf(_core); });
+		const std::string text = m_queue.ask([](const EntryCore& _core) { return formatEntryMetrics(_core); });
 		return HttpAnswer{200, {{"Content-Type", "text/plain; version=0.0.4"}}, text};
 	}
 	throw Error(Failure::UnknownService, "nothing is served at " + _request.target);
--- a/src/protocol/statedump.cpp
+++ b/src/protocol/statedump.cpp
@@ -295,7 +295,7 @@
 	return parsed;
 }
 
-std::string metricsOf(const EntryCore& _core)
+std::string formatEntryMetrics(const EntryCore& _core)
 {
 	std::ostringstream text;
 	const Json stats = statsOf(_core.stats());
--- a/src/protocol/statedump.h
+++ b/src/protocol/statedump.h
@@ -30,7 +30,7 @@
 std::pair<EntryRef, RequestId> readRequestName(const std::string& _name);
 
 /// @returns counters and gauges in the text format that scrapers read.
-std::string metricsOf(const EntryCore& _core);
+std::string formatEntryMetrics(const EntryCore& _core);
 
 Json toJson(const EntryReported& _report);
 
