--- a/src/protocol/contentcodec.cpp
+++ b/src/protocol/contentcodec.cpp
@@ -120,7 +120,7 @@
 										 _update.keys ? Json(*_update.keys) : Json()})));
 }
 
-std::string encodeUpdate(const UpdateHead& _head, const std::string& _body)
+std::string encodeUpdate(const UpdateHeader& _head, const std::string& _body)
 {
 	return toBytes(Json::array({_head.since, _head.revision, _head.age, _head.configVersion, _body}));
 }
--- a/src/protocol/contentcodec.h
+++ b/src/protocol/contentcodec.h
@@ -34,7 +34,7 @@
 std::string encodeUpdateBody(const ContentUpdate& _update);
 
 /// What an answer says of an update besides its body.
-struct UpdateHead
+struct UpdateHeader
 {
 	std::uint64_t since = 0;
 	std::uint64_t revision = 0;
@@ -43,7 +43,7 @@
 };
 
 /// @param[in] _body As encodeUpdateBody() made it.
-std::string encodeUpdate(const UpdateHead& _head, const std::string& _body);
+std::string encodeUpdate(const UpdateHeader& _head, const std::string& _body);
 
 /// @returns nothing where the bytes are no update.
 std::optional<ContentUpdate> decodeUpdate(std::string_view _bytes);
