--- a/src/protocol/retryafter.cpp
+++ b/src/protocol/retryafter.cpp
@@ -34,7 +34,7 @@
 	{
 		return std::nullopt;
 	}
-	const double most = static_cast<double>(kLongestRetryAfter);
+	const double most = static_cast<double>(kMaxRetryAfter);
 	return static_cast<Micros>(std::min(most, std::ceil(seconds * static_cast<double>(kSecond))));
 }
 
--- a/src/protocol/retryafter.h
+++ b/src/protocol/retryafter.h
@@ -15,7 +15,7 @@
 namespace beacongate
 {
 /// Longest span that is read as such; a longer one counts as this.
-inline constexpr Micros kLongestRetryAfter = 86'400 * kSecond;
+inline constexpr Micros kMaxRetryAfter = 86'400 * kSecond;
 
 /// Reads a number of seconds, fractions allowed. Dates are not taken: they would need clocks that agree.
 /// @returns the span, or nothing where the text is no such number or is negative.
--- a/tests/answerheaderstest.cpp
+++ b/tests/answerheaderstest.cpp
@@ -52,7 +52,7 @@
 
 TEST(AnswerHeaders, aHugeSpanIsBounded)
 {
-	EXPECT_EQ(readRetryAfter(503, "99999999999999999999").backoff, kLongestRetryAfter);
+	EXPECT_EQ(readRetryAfter(503, "99999999999999999999").backoff, kMaxRetryAfter);
 }
 
 TEST(AnswerHeaders, theLongestOfSeveralValuesCounts)
@@ -89,7 +89,7 @@
 RC_GTEST_PROP(AnswerHeaders, anyTextGivesABoundedSpanOrNone, (const std::string& text))
 {
 	const auto span = parseRetryAfter(text);
-	RC_ASSERT(!span || (*span >= 0 && *span <= kLongestRetryAfter));
+	RC_ASSERT(!span || (*span >= 0 && *span <= kMaxRetryAfter));
 }
 
 RC_GTEST_PROP(AnswerHeaders, wholeSecondsAreTakenAsTheyAre, (std::uint16_t seconds))
