--- a/src/protocol/base64.cpp
+++ b/src/protocol/base64.cpp
@@ -15,20 +15,20 @@
 {
 constexpr std::string_view kAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 constexpr char kPadding = '=';
-constexpr std::int8_t kNoDigit = -1;
+constexpr std::int8_t kInvalidDigit = -1;
 
-constexpr std::array<std::int8_t, 256> makeDigits()
+constexpr std::array<std::int8_t, 256> makeDecodeTable()
 {
-	std::array<std::int8_t, 256> digits{};
-	digits.fill(kNoDigit);
+	std::array<std::int8_t, 256> table{};
+	table.fill(kInvalidDigit);
 	for (std::size_t index = 0; index < kAlphabet.size(); ++index)
 	{
-		digits[static_cast<unsigned char>(kAlphabet[index])] = static_cast<std::int8_t>(index);
+		table[static_cast<unsigned char>(kAlphabet[index])] = static_cast<std::int8_t>(index);
 	}
-	return digits;
+	return table;
 }
 
-constexpr std::array<std::int8_t, 256> kDigits = makeDigits();
+constexpr std::array<std::int8_t, 256> kDecodeTable = makeDecodeTable();
 } // namespace
 
 std::string toBase64(std::string_view _bytes)
@@ -63,8 +63,8 @@
 		{
 			break;
 		}
-		const std::int8_t digit = kDigits[static_cast<unsigned char>(c)];
-		if (digit == kNoDigit)
+		const std::int8_t digit = kDecodeTable[static_cast<unsigned char>(c)];
+		if (digit == kInvalidDigit)
 		{
 			throw Error(Failure::MalformedRequest, "not base64");
 		}
--- a/src/protocol/base64.h
+++ b/src/protocol/base64.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Standard base64 with padding, as key-value stores put bytes into JSON.
+/// Base64 encoding with padding, the form in which key-value stores carry bytes in JSON.
 
 #ifndef BEACONGATE_PROTOCOL_BASE64_H
 #define BEACONGATE_PROTOCOL_BASE64_H
@@ -12,10 +12,11 @@
 
 namespace beacongate
 {
-/// @returns the bytes as base64 with padding.
+/// @returns the bytes encoded as base64 with padding.
 std::string toBase64(std::string_view _bytes);
 
-/// @throws Error MalformedRequest where the text is no base64.
+/// Decodes base64 up to the end of the text or the first padding character.
+/// @throws Error MalformedRequest where a character is not in the base64 alphabet.
 std::string fromBase64(std::string_view _text);
 
 } // namespace beacongate
--- a/src/protocol/compression.cpp
+++ b/src/protocol/compression.cpp
@@ -12,12 +12,13 @@
 {
 namespace
 {
-/// Taken in one step of decompress(), so that a small input cannot claim much memory at once.
-constexpr std::size_t kStepBytes = 64u << 10;
+/// decompress() grows its output by this many bytes at a time, so that a small input cannot claim much memory at
+/// once.
+constexpr std::size_t kOutputStepBytes = 64u << 10;
 
 Bytef* toZlib(std::string_view _bytes)
 {
-	// The library does not write there; its interface has no const.
+	// zlib does not write to its input; its interface only lacks the const qualifier.
 	return reinterpret_cast<Bytef*>(const_cast<char*>(_bytes.data()));
 }
 } // namespace
@@ -25,18 +26,18 @@
 std::string compress(std::string_view _bytes)
 {
 	uLongf size = compressBound(_bytes.size());
-	std::string made(size, '\0');
-	const int result = compress2(toZlib(made), &size, toZlib(_bytes), _bytes.size(), Z_BEST_SPEED);
-	if (result != Z_OK)
+	std::string compressed(size, '\0');
+	const int status = compress2(toZlib(compressed), &size, toZlib(_bytes), _bytes.size(), Z_BEST_SPEED);
+	if (status != Z_OK)
 	{
-		// The buffer is as large as the library asks for, so that only memory can be missing.
+		// compressBound() made the buffer large enough, so running out of memory is the only possible failure.
 		throw std::bad_alloc();
 	}
-	made.resize(size);
-	return made;
+	compressed.resize(size);
+	return compressed;
 }
 
-std::optional<std::string> decompress(std::string_view _bytes, std::size_t _most)
+std::optional<std::string> decompress(std::string_view _bytes, std::size_t _maxBytes)
 {
 	z_stream stream{};
 	stream.next_in = toZlib(_bytes);
@@ -45,20 +46,20 @@
 	{
 		return std::nullopt;
 	}
-	std::string made;
-	int result = Z_OK;
-	while (result == Z_OK && made.size() <= _most)
+	std::string output;
+	int status = Z_OK;
+	while (status == Z_OK && output.size() <= _maxBytes)
 	{
-		const std::size_t before = made.size();
-		made.resize(before + kStepBytes);
-		stream.next_out = toZlib(made) + before;
-		stream.avail_out = static_cast<uInt>(kStepBytes);
-		result = inflate(&stream, Z_NO_FLUSH);
-		made.resize(before + kStepBytes - stream.avail_out);
+		const std::size_t oldSize = output.size();
+		output.resize(oldSize + kOutputStepBytes);
+		stream.next_out = toZlib(output) + oldSize;
+		stream.avail_out = static_cast<uInt>(kOutputStepBytes);
+		status = inflate(&stream, Z_NO_FLUSH);
+		output.resize(oldSize + kOutputStepBytes - stream.avail_out);
 	}
 	inflateEnd(&stream);
-	const bool whole = result == Z_STREAM_END && stream.avail_in == 0 && made.size() <= _most;
-	return whole ? std::optional(std::move(made)) : std::nullopt;
+	const bool complete = status == Z_STREAM_END && stream.avail_in == 0 && output.size() <= _maxBytes;
+	return complete ? std::optional(std::move(output)) : std::nullopt;
 }
 
 } // namespace beacongate
--- a/src/protocol/compression.h
+++ b/src/protocol/compression.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Smaller forms of long texts that gateways send each other.
+/// zlib compression of the long texts that gateways send each other.
 
 #ifndef BEACONGATE_PROTOCOL_COMPRESSION_H
 #define BEACONGATE_PROTOCOL_COMPRESSION_H
@@ -14,12 +14,15 @@
 
 namespace beacongate
 {
-/// @returns the bytes in zlib's form, made as fast as it can: records of backend servers shrink to a tenth.
+/// Compresses at zlib's fastest level, which reduces records of backend servers to a tenth of their size.
+/// @returns the bytes in zlib format.
 std::string compress(std::string_view _bytes);
 
-/// @param[in] _most Bytes that the result may have.
-/// @returns the bytes that compress() was given; nothing where these are no such form, or make more.
-std::optional<std::string> decompress(std::string_view _bytes, std::size_t _most);
+/// Reverses compress().
+/// @param[in] _maxBytes Maximum size of the result.
+/// @returns the decompressed bytes; nullopt where the input is not one complete zlib stream or its content is
+/// larger than `_maxBytes`.
+std::optional<std::string> decompress(std::string_view _bytes, std::size_t _maxBytes);
 
 } // namespace beacongate
 
--- a/src/protocol/configdoc.cpp
+++ b/src/protocol/configdoc.cpp
@@ -24,7 +24,7 @@
 	throw Error(kInvalid, _where + ": " + _what);
 }
 
-void checkMembers(const Json& _object, std::initializer_list<const char*> _known, const std::string& _where)
+void checkMembers(const Json& _object, std::initializer_list<const char*> _allowed, const std::string& _where)
 {
 	if (!_object.is_object())
 	{
@@ -33,11 +33,11 @@
 	for (const auto& item : _object.items())
 	{
 		const std::string& name = item.key();
-		const auto same = [&](const char* _other)
+		const auto isName = [&](const char* _other)
 		{
 			return name == _other;
 		};
-		if (std::none_of(_known.begin(), _known.end(), same))
+		if (std::none_of(_allowed.begin(), _allowed.end(), isName))
 		{
 			reject(_where, "'" + name + "' is not known");
 		}
@@ -57,11 +57,11 @@
 std::string readName(const Json& _object, const char* _member, const std::string& _where)
 {
 	auto name = readMember<std::string>(_object, _member, _where, kInvalid);
-	const auto plain = [](char _c)
+	const auto isNameChar = [](char _c)
 	{
 		return std::isalnum(static_cast<unsigned char>(_c)) || '-' == _c || '_' == _c || '.' == _c;
 	};
-	if (name.empty() || name.size() > 64 || !std::all_of(name.begin(), name.end(), plain))
+	if (name.empty() || name.size() > 64 || !std::all_of(name.begin(), name.end(), isNameChar))
 	{
 		reject(_where, std::string("'") + _member + "' has to be 1 to 64 letters, digits, '-', '_' or '.'");
 	}
@@ -76,13 +76,13 @@
 	}
 }
 
-std::uint32_t readCount(const Json& _object, const char* _member, std::uint32_t _default, std::uint32_t _most,
+std::uint32_t readCount(const Json& _object, const char* _member, std::uint32_t _default, std::uint32_t _max,
 						const std::string& _where)
 {
 	const auto value = readOr<std::int64_t>(_object, _member, _default, _where, kInvalid);
-	if (value < 1 || value > _most)
+	if (value < 1 || value > _max)
 	{
-		reject(_where, std::string("'") + _member + "' has to be 1 to " + std::to_string(_most));
+		reject(_where, std::string("'") + _member + "' has to be 1 to " + std::to_string(_max));
 	}
 	return static_cast<std::uint32_t>(value);
 }
@@ -144,9 +144,9 @@
 	return backend;
 }
 
-std::string place(const char* _list, std::size_t _idx)
+std::string elementPath(const char* _list, std::size_t _index)
 {
-	return std::string(_list) + "[" + std::to_string(_idx) + "]";
+	return std::string(_list) + "[" + std::to_string(_index) + "]";
 }
 } // namespace
 
@@ -163,7 +163,7 @@
 	std::set<std::string> tokens;
 	for (const Json& item : readList(_document, "teams"))
 	{
-		const std::string where = place("teams", config.teams.size());
+		const std::string where = elementPath("teams", config.teams.size());
 		config.teams.push_back(readTeam(item, where));
 		checkUnique(teams, config.teams.back().name, where);
 		checkUnique(tokens, config.teams.back().token, where);
@@ -171,14 +171,14 @@
 	std::set<std::string> services;
 	for (const Json& item : readList(_document, "services"))
 	{
-		const std::string where = place("services", config.services.size());
+		const std::string where = elementPath("services", config.services.size());
 		config.services.push_back(readService(item, where));
 		checkUnique(services, config.services.back().name, where);
 	}
 	std::set<std::string> backends;
 	for (const Json& item : readList(_document, "backends"))
 	{
-		const std::string where = place("backends", config.backends.size());
+		const std::string where = elementPath("backends", config.backends.size());
 		config.backends.push_back(readBackend(item, where));
 		checkUnique(backends, config.backends.back().id, where);
 		if (!services.contains(config.backends.back().service))
@@ -198,13 +198,14 @@
 		address.host = std::string(_text.substr(0, colon));
 		const std::string_view digits = _text.substr(colon + 1);
 		const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), address.port);
-		const bool whole = std::errc{} == error && digits.data() + digits.size() == end;
-		const auto ipLike = [](char _c)
+		const bool isPortValid = std::errc{} == error && digits.data() + digits.size() == end;
+		const auto isAddressChar = [](char _c)
 		{
 			return std::isxdigit(static_cast<unsigned char>(_c)) || '.' == _c || ':' == _c;
 		};
-		const bool host = !address.host.empty() && std::all_of(address.host.begin(), address.host.end(), ipLike);
-		if (whole && host)
+		const bool isHostValid =
+			!address.host.empty() && std::all_of(address.host.begin(), address.host.end(), isAddressChar);
+		if (isPortValid && isHostValid)
 		{
 			return address;
 		}
--- a/src/protocol/configdoc.h
+++ b/src/protocol/configdoc.h
@@ -2,8 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The configuration document: JSON form, checks, and changes to it.
-/// The schema for people and editors is docs/config.schema.json; the checks here are what counts.
+/// The configuration document: its JSON form, validation, version and change history.
+/// docs/config.schema.json describes the document for people and editors; the checks here are authoritative.
 
 #ifndef BEACONGATE_PROTOCOL_CONFIGDOC_H
 #define BEACONGATE_PROTOCOL_CONFIGDOC_H
@@ -16,24 +16,26 @@
 
 namespace beacongate
 {
-/// Reads and checks a document.
-/// @throws Error ConfigInvalid with the place and the cause.
+/// Parses and validates a configuration document.
+/// @throws Error ConfigInvalid with the position in the document and the cause.
 Config readConfig(const Json& _document);
 
-/// @returns an Address from "IP:port".
-/// @throws Error of kind `_failure`, where the text is no IP number and port.
+/// Parses "IP:port".
+/// @param[in] _where Setting or position in a document that the error names.
+/// @throws Error of kind `_failure` where the text is not an IP address and a port.
 Address readAddress(std::string_view _text, std::string_view _where, Failure _failure);
 
-/// @returns "IP:port".
+/// @returns the address as "IP:port".
 std::string toString(const Address& _address);
 
-/// @returns whether the document's history holds the change id.
+/// @returns true if the document's history contains the change id.
 bool hasChange(const Json& _document, std::string_view _changeId);
 
-/// Raises the version by one and notes the change id in the history.
+/// Raises the document's version by one and appends the change id to its history, which keeps the newest
+/// limits::kConfigHistory ids.
 void recordChange(Json& _document, std::string_view _changeId);
 
-/// @returns the document's version, 0 where there is none.
+/// @returns the document's version; 0 where it has none.
 std::uint64_t versionOf(const Json& _document);
 
 } // namespace beacongate
--- a/src/protocol/contentcodec.cpp
+++ b/src/protocol/contentcodec.cpp
@@ -13,8 +13,8 @@
 {
 namespace
 {
-constexpr std::size_t kContentFields = 3;
-constexpr std::size_t kUpdateFields = 5;
+constexpr std::size_t kContentFieldCount = 3;
+constexpr std::size_t kUpdateFieldCount = 5;
 
 Json encodeItem(const KvItem& _item)
 {
@@ -46,22 +46,22 @@
 	return items;
 }
 
-std::string toBytes(const Json& _fields)
+std::string toMsgpack(const Json& _fields)
 {
 	std::string bytes;
 	Json::to_msgpack(_fields, bytes);
 	return bytes;
 }
 
-Json fromBytes(std::string_view _bytes, std::size_t _fieldCount)
+Json fromMsgpack(std::string_view _bytes, std::size_t _fieldCount)
 {
 	Json fields = Json::from_msgpack(_bytes.begin(), _bytes.end(), true, false);
 	return fields.is_array() && fields.size() == _fieldCount ? fields : Json();
 }
 
-/// @returns what a compressed body holds; null where it cannot be read.
-/// @throws Json::exception where the field is no text.
-Json decompressed(const Json& _field)
+/// @returns the content of a compressed body; null where it cannot be decoded.
+/// @throws Json::exception where the field is not a string.
+Json decodeBody(const Json& _field)
 {
 	const auto bytes = decompress(_field.get_ref<const std::string&>(), limits::kSnapshotBytes);
 	return bytes ? Json::from_msgpack(bytes->begin(), bytes->end(), true, false) : Json();
@@ -75,17 +75,17 @@
 	{
 		items.push_back(encodeItem(item));
 	}
-	return compress(toBytes(items));
+	return compress(toMsgpack(items));
 }
 
 std::string encodeContent(std::uint64_t _revision, Micros _age, const std::string& _body)
 {
-	return toBytes(Json::array({_revision, _age, _body}));
+	return toMsgpack(Json::array({_revision, _age, _body}));
 }
 
-std::optional<StoreContent> decodeContent(std::string_view _bytes, Micros _asked)
+std::optional<StoreContent> decodeContent(std::string_view _bytes, Micros _requestTime)
 {
-	const Json fields = fromBytes(_bytes, kContentFields);
+	const Json fields = fromMsgpack(_bytes, kContentFieldCount);
 	if (fields.is_null())
 	{
 		return std::nullopt;
@@ -94,9 +94,10 @@
 	{
 		StoreContent content;
 		content.revision = fields[0].get<std::uint64_t>();
-		// The age is counted to when the answer was made, which was after the question was sent.
-		content.confirmed = _asked - fields[1].get<Micros>();
-		const Json items = decompressed(fields[2]);
+		// The age was measured when the answer was built, which is after the request was sent. Counting it back
+		// from the request makes the confirmation time too early, never too late.
+		content.confirmed = _requestTime - fields[1].get<Micros>();
+		const Json items = decodeBody(fields[2]);
 		if (!items.is_array())
 		{
 			return std::nullopt;
@@ -116,18 +117,18 @@
 
 std::string encodeUpdateBody(const ContentUpdate& _update)
 {
-	return compress(toBytes(Json::array({encodeItems(_update.items), encodeItems(_update.leftOut), _update.removed,
-										 _update.keys ? Json(*_update.keys) : Json()})));
+	return compress(toMsgpack(Json::array({encodeItems(_update.items), encodeItems(_update.leftOut),
+										   _update.removed, _update.keys ? Json(*_update.keys) : Json()})));
 }
 
 std::string encodeUpdate(const UpdateHeader& _head, const std::string& _body)
 {
-	return toBytes(Json::array({_head.since, _head.revision, _head.age, _head.configVersion, _body}));
+	return toMsgpack(Json::array({_head.since, _head.revision, _head.age, _head.configVersion, _body}));
 }
 
 std::optional<ContentUpdate> decodeUpdate(std::string_view _bytes)
 {
-	const Json fields = fromBytes(_bytes, kUpdateFields);
+	const Json fields = fromMsgpack(_bytes, kUpdateFieldCount);
 	if (fields.is_null())
 	{
 		return std::nullopt;
@@ -139,7 +140,7 @@
 		update.revision = fields[1].get<std::uint64_t>();
 		update.age = fields[2].get<Micros>();
 		update.configVersion = fields[3].get<std::uint64_t>();
-		const Json body = decompressed(fields[4]);
+		const Json body = decodeBody(fields[4]);
 		update.items = decodeItems(body.at(0));
 		update.leftOut = decodeItems(body.at(1));
 		update.removed = body.at(2).get<std::vector<std::string>>();
@@ -164,8 +165,8 @@
 	_path.remove_prefix(kUpdatePath.size());
 	std::uint64_t revision = 0;
 	const auto [end, error] = std::from_chars(_path.data(), _path.data() + _path.size(), revision);
-	const bool whole = error == std::errc{} && end == _path.data() + _path.size();
-	return whole ? std::optional(revision) : std::nullopt;
+	const bool isNumber = error == std::errc{} && end == _path.data() + _path.size();
+	return isNumber ? std::optional(revision) : std::nullopt;
 }
 
 } // namespace beacongate
--- a/src/protocol/contentcodec.h
+++ b/src/protocol/contentcodec.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The store's content as gateways hand it to each other, in MessagePack.
+/// MessagePack encoding of the store content that gateways send each other.
 
 #ifndef BEACONGATE_PROTOCOL_CONTENTCODEC_H
 #define BEACONGATE_PROTOCOL_CONTENTCODEC_H
@@ -15,40 +15,46 @@
 
 namespace beacongate
 {
-inline constexpr std::string_view kContentPath = "/content";       ///< Of the whole content.
-inline constexpr std::string_view kUpdatePath = "/content/since/"; ///< Then the revision that is known.
+inline constexpr std::string_view kContentPath = "/content";       ///< Serves the whole content.
+inline constexpr std::string_view kUpdatePath = "/content/since/"; ///< The revision that the requester has follows.
 
-/// @returns the part of a whole content that all who ask get alike, compressed: 3,000 records of backend servers
-/// are 50 kB in place of 513 kB (compressiontest).
+/// Encodes the part of a whole-content answer that is the same for every requester. Compression reduces 3,000
+/// records of backend servers from 513 kB to 50 kB (compressiontest).
+/// @returns the compressed body for encodeContent().
 std::string encodeContentBody(const StoreContent& _content);
 
-/// @param[in] _age How long ago the content was certainly the newest.
-/// @param[in] _body As encodeContentBody() made it.
+/// Encodes an answer with the whole content.
+/// @param[in] _age Time since the content was last known to be the newest revision.
+/// @param[in] _body Result of encodeContentBody().
 std::string encodeContent(std::uint64_t _revision, Micros _age, const std::string& _body);
 
-/// @param[in] _asked When the question was sent; the content counts as confirmed so much before it.
-/// @returns nothing where the bytes are no content.
-std::optional<StoreContent> decodeContent(std::string_view _bytes, Micros _asked);
+/// Decodes an answer of encodeContent().
+/// @param[in] _requestTime When the request was sent; the content counts as confirmed at this time less the encoded
+/// age.
+/// @returns nullopt where the bytes are not a valid answer.
+std::optional<StoreContent> decodeContent(std::string_view _bytes, Micros _requestTime);
 
-/// @returns the part of an update that all who ask for it get alike, compressed.
+/// Encodes the part of an update that is the same for every requester.
+/// @returns the compressed body for encodeUpdate().
 std::string encodeUpdateBody(const ContentUpdate& _update);
 
-/// What an answer says of an update besides its body.
+/// Fields of an update that precede its body.
 struct UpdateHeader
 {
-	std::uint64_t since = 0;
-	std::uint64_t revision = 0;
-	Micros age = kNever; ///< How long ago that revision was certainly the newest.
-	std::uint64_t configVersion = 0;
+	std::uint64_t since = 0;         ///< Revision that the update starts from.
+	std::uint64_t revision = 0;      ///< Revision that the update leads to.
+	Micros age = kNever;             ///< Time since `revision` was last known to be the newest.
+	std::uint64_t configVersion = 0; ///< In force at the sender; 0 is none.
 };
 
-/// @param[in] _body As encodeUpdateBody() made it.
+/// Encodes an update.
+/// @param[in] _body Result of encodeUpdateBody().
 std::string encodeUpdate(const UpdateHeader& _head, const std::string& _body);
 
-/// @returns nothing where the bytes are no update.
+/// @returns the update; nullopt where the bytes are not a valid update.
 std::optional<ContentUpdate> decodeUpdate(std::string_view _bytes);
 
-/// @returns the revision that a path asks for updates from, or nothing where it is not such a path.
+/// @returns the revision in a request path that begins with kUpdatePath; nullopt for any other path.
 std::optional<std::uint64_t> readUpdatePath(std::string_view _path);
 
 } // namespace beacongate
--- a/src/protocol/documents.h
+++ b/src/protocol/documents.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The DocumentCodec that a control works with.
+/// The JSON codec of the documents that a control process reads and writes.
 
 #ifndef BEACONGATE_PROTOCOL_DOCUMENTS_H
 #define BEACONGATE_PROTOCOL_DOCUMENTS_H
@@ -11,7 +11,7 @@
 
 namespace beacongate
 {
-/// @returns the codec for this project's JSON documents.
+/// @returns the DocumentCodec for configuration documents and rosters in JSON.
 DocumentCodec jsonDocumentCodec();
 
 } // namespace beacongate
--- a/src/protocol/etcd.cpp
+++ b/src/protocol/etcd.cpp
@@ -18,7 +18,7 @@
 	const auto it = _object.find(_name);
 	if (_object.end() == it)
 	{
-		return 0; // The mapping leaves zeros out.
+		return 0; // The JSON mapping omits fields whose value is zero.
 	}
 	return it->is_string() ? std::stoll(it->get<std::string>()) : it->get<std::int64_t>();
 }
@@ -33,14 +33,14 @@
 	return value;
 }
 
-StoreValue readFirst(const Json& _range)
+StoreValue readFirstValue(const Json& _range)
 {
 	const auto kvs = _range.find("kvs");
 	return _range.end() == kvs || kvs->empty() ? StoreValue{} : readValue(kvs->front());
 }
 
-/// Reads an answer; what does not parse counts as lost.
-template <typename Read> StoreAnswered guarded(std::uint64_t _op, std::string_view _body, Read _read)
+/// Decodes an answer; one that cannot be decoded counts as lost.
+template <typename Read> StoreAnswered decodeOrLost(std::uint64_t _op, std::string_view _body, Read _read)
 {
 	StoreAnswered answered;
 	answered.op = _op;
@@ -92,51 +92,51 @@
 
 StoreAnswered decode(const StoreGet& _get, std::string_view _body)
 {
-	return guarded(_get.op, _body,
-				   [](const Json& _json, StoreAnswered& _answered)
-				   {
-					   _answered.value = readFirst(_json);
-					   _answered.status = StoreStatus::Ok;
-				   });
+	return decodeOrLost(_get.op, _body,
+						[](const Json& _json, StoreAnswered& _answered)
+						{
+							_answered.value = readFirstValue(_json);
+							_answered.status = StoreStatus::Ok;
+						});
 }
 
 StoreAnswered decode(const StoreSwap& _swap, std::string_view _body)
 {
-	return guarded(_swap.op, _body,
-				   [](const Json& _json, StoreAnswered& _answered)
-				   {
-					   _answered.revision = readNumber(_json.at("header"), "revision");
-					   if (_json.value("succeeded", false))
-					   {
-						   _answered.status = StoreStatus::Ok;
-						   return;
-					   }
-					   _answered.value = readFirst(_json.at("responses").at(0).at("response_range"));
-					   _answered.status = StoreStatus::CompareFailed;
-				   });
+	return decodeOrLost(_swap.op, _body,
+						[](const Json& _json, StoreAnswered& _answered)
+						{
+							_answered.revision = readNumber(_json.at("header"), "revision");
+							if (_json.value("succeeded", false))
+							{
+								_answered.status = StoreStatus::Ok;
+								return;
+							}
+							_answered.value = readFirstValue(_json.at("responses").at(0).at("response_range"));
+							_answered.status = StoreStatus::CompareFailed;
+						});
 }
 
 StoreAnswered decode(const StoreLeaseGrant& _grant, std::string_view _body)
 {
-	return guarded(_grant.op, _body,
-				   [](const Json& _json, StoreAnswered& _answered)
-				   {
-					   _answered.lease = readNumber(_json, "ID");
-					   _answered.status = 0 == _answered.lease ? StoreStatus::Lost : StoreStatus::Ok;
-				   });
+	return decodeOrLost(_grant.op, _body,
+						[](const Json& _json, StoreAnswered& _answered)
+						{
+							_answered.lease = readNumber(_json, "ID");
+							_answered.status = 0 == _answered.lease ? StoreStatus::Lost : StoreStatus::Ok;
+						});
 }
 
 StoreAnswered decode(const StoreLeaseRenew& _renew, std::string_view _body)
 {
-	return guarded(_renew.op, _body,
-				   [&](const Json& _json, StoreAnswered& _answered)
-				   {
-					   const Json& result = _json.at("result");
-					   _answered.lease = _renew.lease;
-					   // A lease that has lapsed is answered without a TTL.
-					   _answered.status =
-						   0 < readNumber(result, "TTL") ? StoreStatus::Ok : StoreStatus::CompareFailed;
-				   });
+	return decodeOrLost(_renew.op, _body,
+						[&](const Json& _json, StoreAnswered& _answered)
+						{
+							const Json& result = _json.at("result");
+							_answered.lease = _renew.lease;
+							// The answer for an expired lease has no TTL.
+							_answered.status =
+								0 < readNumber(result, "TTL") ? StoreStatus::Ok : StoreStatus::CompareFailed;
+						});
 }
 
 } // namespace beacongate::etcd
--- a/src/protocol/eventstream.cpp
+++ b/src/protocol/eventstream.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-/// @returns the length of the first event with its blank line, or 0.
+/// @returns the length of the first event including its blank line; 0 where it is incomplete.
 std::size_t firstEventLength(std::string_view _text)
 {
 	std::size_t lineStart = 0;
@@ -31,7 +31,7 @@
 	return 0;
 }
 
-std::optional<std::uint64_t> idOf(std::string_view _event)
+std::optional<std::uint64_t> eventId(std::string_view _event)
 {
 	constexpr std::string_view kField = "id:";
 	std::size_t start = 0;
@@ -65,16 +65,16 @@
 {
 	m_pending += _bytes;
 	std::vector<StreamEvent> events;
-	std::size_t taken = 0;
-	while (const std::size_t length = firstEventLength(std::string_view(m_pending).substr(taken)))
+	std::size_t consumed = 0;
+	while (const std::size_t length = firstEventLength(std::string_view(m_pending).substr(consumed)))
 	{
 		StreamEvent event;
-		event.bytes = m_pending.substr(taken, length);
-		event.id = idOf(event.bytes);
+		event.bytes = m_pending.substr(consumed, length);
+		event.id = eventId(event.bytes);
 		events.push_back(std::move(event));
-		taken += length;
+		consumed += length;
 	}
-	m_pending.erase(0, taken);
+	m_pending.erase(0, consumed);
 	return events;
 }
 
--- a/src/protocol/eventstream.h
+++ b/src/protocol/eventstream.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Splits a text/event-stream into whole events.
+/// Splits a text/event-stream into complete events.
 
 #ifndef BEACONGATE_PROTOCOL_EVENTSTREAM_H
 #define BEACONGATE_PROTOCOL_EVENTSTREAM_H
@@ -15,22 +15,22 @@
 
 namespace beacongate
 {
-/// One event.
+/// One server-sent event.
 struct StreamEvent
 {
-	std::string bytes;               ///< As it came, with its blank line.
-	std::optional<std::uint64_t> id; ///< Where it has a whole number as its id.
+	std::string bytes;               ///< As received, with the blank line that ends the event.
+	std::optional<std::uint64_t> id; ///< Number at the start of its id, where there is one.
 };
 
-/// Collects bytes and hands out events that are complete.
+/// Buffers the bytes of a stream until its events are complete.
 class EventSplitter
 {
 public:
-	/// Adds bytes.
+	/// Appends bytes to the buffer.
 	/// @returns the events that are complete now.
 	std::vector<StreamEvent> add(std::string_view _bytes);
 
-	/// @returns bytes of an event that is not complete.
+	/// @returns the number of buffered bytes, which belong to an incomplete event.
 	std::size_t pending() const
 	{
 		return m_pending.size();
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Checked reads from JSON documents; a wrong shape is an Error that names the place.
+/// Typed reads from JSON documents. A member that is missing or has the wrong type throws an Error that names its
+/// position.
 
 #ifndef BEACONGATE_PROTOCOL_JSON_H
 #define BEACONGATE_PROTOCOL_JSON_H
@@ -18,13 +19,13 @@
 {
 using Json = nlohmann::json;
 
-/// Parses a text.
-/// @param[in] _failure What to throw where the text is no JSON.
+/// Parses JSON text.
+/// @throws Error of kind `_failure` where the text is not valid JSON.
 Json parseJson(std::string_view _text, Failure _failure);
 
-/// Reads a member.
-/// @param[in] _where Place of `_object` in its document, for the error's text.
-/// @throws Error of kind `_failure` where the member is absent or of another type.
+/// Reads a required member.
+/// @param[in] _where Position of `_object` in its document, for the error message.
+/// @throws Error of kind `_failure` where the member is missing or has the wrong type.
 template <typename Value>
 Value readMember(const Json& _object, const char* _name, std::string_view _where, Failure _failure)
 {
@@ -43,7 +44,8 @@
 	}
 }
 
-/// As readMember(), with a value for an absent member.
+/// Reads an optional member as readMember() does.
+/// @returns `_default` where the member is missing.
 template <typename Value>
 Value readOr(const Json& _object, const char* _name, Value _default, std::string_view _where, Failure _failure)
 {
--- a/src/protocol/openai.cpp
+++ b/src/protocol/openai.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 constexpr std::uint32_t kDefaultMaxTokens = 256;
-constexpr std::uint32_t kMostMaxTokens = 131'072;
+constexpr std::uint32_t kMaxTokensLimit = 131'072;
 constexpr Failure kMalformed = Failure::MalformedRequest;
 constexpr std::string_view kDone = "[DONE]";
 
@@ -38,7 +38,7 @@
 {
 	const char* name = _body.contains("max_completion_tokens") ? "max_completion_tokens" : "max_tokens";
 	const auto value = readOr<std::int64_t>(_body, name, kDefaultMaxTokens, "body", kMalformed);
-	if (value < 1 || value > kMostMaxTokens)
+	if (value < 1 || value > kMaxTokensLimit)
 	{
 		throw Error(kMalformed, std::string("body: '") + name + "' has to be 1 to 131072");
 	}
@@ -75,7 +75,7 @@
 		const std::size_t colon = line.find(':');
 		if (0 == colon || std::string_view::npos == colon)
 		{
-			continue; // A comment, or a field without a value.
+			continue; // Comment lines and fields without a value are ignored.
 		}
 		const std::string_view field = line.substr(0, colon);
 		std::string_view value = line.substr(colon + 1);
@@ -195,16 +195,16 @@
 
 std::vector<SseEvent> SseReader::feed(std::string_view _bytes)
 {
-	m_rest.append(_bytes);
+	m_buffer.append(_bytes);
 	std::vector<SseEvent> events;
 	std::size_t begin = 0;
-	for (std::size_t end = m_rest.find("\n\n"); std::string::npos != end; end = m_rest.find("\n\n", begin))
+	for (std::size_t end = m_buffer.find("\n\n"); std::string::npos != end; end = m_buffer.find("\n\n", begin))
 	{
-		events.push_back(readEvent(std::string_view(m_rest).substr(begin, end - begin)));
+		events.push_back(readEvent(std::string_view(m_buffer).substr(begin, end - begin)));
 		begin = end + 2;
 	}
-	m_rest.erase(0, begin);
-	if (m_rest.size() > limits::kAnswerBodyBytes)
+	m_buffer.erase(0, begin);
+	if (m_buffer.size() > limits::kAnswerBodyBytes)
 	{
 		throw Error(Failure::BackendLost, "a server-sent event is too long");
 	}
--- a/src/protocol/openai.h
+++ b/src/protocol/openai.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// OpenAI-style requests, stream chunks and answers, and server-sent events.
+/// OpenAI-compatible requests, stream chunks and answers, and server-sent events.
 
 #ifndef BEACONGATE_PROTOCOL_OPENAI_H
 #define BEACONGATE_PROTOCOL_OPENAI_H
@@ -18,7 +18,7 @@
 
 namespace beacongate
 {
-/// Which of the two published endpoints a request came in on.
+/// Endpoint that received a request.
 enum class OpenAiEndpoint
 {
 	Chat,        ///< /v1/chat/completions
@@ -33,27 +33,28 @@
 	CallPayload payload;
 };
 
-/// Reads and checks a request body.
-/// @throws Error MalformedRequest with the place and the cause.
+/// Parses and validates a request body.
+/// @throws Error MalformedRequest with the position in the body and the cause.
 ModelCall readModelCall(OpenAiEndpoint _endpoint, std::string_view _body);
 
-/// Builds the body for a backend server: always streamed, resuming after `_delivered`.
-/// @remarks `beacongate_resume` lists the tokens that are already with the caller; the
-/// engine prefills prompt and tokens, and generates from there on.
+/// Builds the request body for a backend server, which always asks for a stream.
+/// @param[in] _delivered Tokens that the caller already has; null for none.
+/// @remarks `beacongate_resume` carries these tokens; the engine prefills the prompt and the tokens and generates
+/// from there on.
 std::string backendBody(const CallPayload& _payload, const std::vector<std::string>* _delivered, int _priority);
 
-/// @returns one server-sent event: a chunk with the token at that offset.
+/// @returns one server-sent event: a chunk with the token, and its offset as the event's id.
 std::string tokenEvent(OpenAiEndpoint _endpoint, std::string_view _model, std::string_view _requestId,
 					   std::uint64_t _offset, std::string_view _token);
 
-/// @returns the terminal events: a chunk with the finish reason and usage, then [DONE].
+/// @returns the terminal events of a stream: a chunk with the finish reason and the usage, then [DONE].
 std::string endEvents(OpenAiEndpoint _endpoint, std::string_view _model, std::string_view _requestId,
 					  std::uint64_t _promptTokens, std::uint64_t _completionTokens);
 
 /// @returns the event that ends a stream whose request failed.
 std::string errorEvent(const Json& _problem);
 
-/// @returns the whole answer for a caller that did not ask for a stream.
+/// @returns the body of the answer to a caller that did not ask for a stream.
 std::string completionBody(OpenAiEndpoint _endpoint, std::string_view _model, std::string_view _requestId,
 						   std::string_view _text, std::uint64_t _promptTokens, std::uint64_t _completionTokens);
 
@@ -65,31 +66,32 @@
 	std::string data;
 };
 
-/// Splits a byte stream into server-sent events.
+/// Parses a byte stream into server-sent events.
 class SseReader
 {
 public:
-	/// Takes in bytes.
-	/// @returns the events that are whole now.
-	/// @throws Error BackendLost where an event grows past limits::kAnswerBodyBytes.
+	/// Appends bytes to the buffer.
+	/// @returns the events that are complete now.
+	/// @throws Error BackendLost where an incomplete event exceeds limits::kAnswerBodyBytes.
 	std::vector<SseEvent> feed(std::string_view _bytes);
 
 private:
-	std::string m_rest;
+	std::string m_buffer;
 };
 
-/// What a stream chunk from a backend server says.
+/// Content of one stream chunk from a backend server.
 struct ModelChunk
 {
 	std::optional<std::uint64_t> offset; ///< From the event's id.
 	std::optional<std::string> token;
-	bool end = false; ///< The terminal event.
+	bool end = false; ///< This is the terminal event.
 };
 
-/// @throws Error BackendLost where the event is no chunk.
+/// Decodes a stream chunk.
+/// @throws Error BackendLost where the event is not a valid chunk.
 ModelChunk readChunk(const SseEvent& _event);
 
-/// @returns the body of an error answer, application/problem+json.
+/// @returns the body of an error answer in application/problem+json.
 Json problem(Failure _failure, std::string_view _detail, std::string_view _requestId);
 
 } // namespace beacongate
--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -61,7 +61,7 @@
 	return claim;
 }
 
-/// A body need not be UTF-8, which JSON text would demand; msgpack carries it as bytes.
+/// Bodies and tokens need not be UTF-8, which a JSON string has to be; MessagePack carries them as binary.
 Json encodeBytes(const std::string& _bytes)
 {
 	return Json::binary(std::vector<std::uint8_t>(_bytes.begin(), _bytes.end()));
@@ -113,92 +113,107 @@
 	return answer;
 }
 
-Json encodeMessage(const ClaimAsk& _m)
+Json encodeMessage(const ClaimAsk& _message)
 {
-	Json json{{"t", "ask"},     {"ask", encode(_m.ask)}, {"k", _m.key},
-			  {"d", _m.digest}, {"v", _m.rosterVersion}, {"i", _m.issuedVersion}};
-	if (_m.released)
+	Json json{{"t", "ask"},           {"ask", encode(_message.ask)}, {"k", _message.key},
+			  {"d", _message.digest}, {"v", _message.rosterVersion}, {"i", _message.issuedVersion}};
+	if (_message.released)
 	{
-		json["r"] = encode(*_m.released);
+		json["r"] = encode(*_message.released);
 	}
 	return json;
 }
 
-Json encodeMessage(const ClaimReply& _m)
+Json encodeMessage(const ClaimReply& _message)
 {
-	return {{"t", "reply"},          {"ask", encode(_m.ask)}, {"k", _m.key}, {"w", static_cast<int>(_m.verdict)},
-			{"c", encode(_m.claim)}, {"v", _m.rosterVersion}};
+	return {{"t", "reply"},
+			{"ask", encode(_message.ask)},
+			{"k", _message.key},
+			{"w", static_cast<int>(_message.verdict)},
+			{"c", encode(_message.claim)},
+			{"v", _message.rosterVersion}};
 }
 
-Json encodeMessage(const ClaimUpdate& _m)
+Json encodeMessage(const ClaimUpdate& _message)
 {
-	Json json{{"t", "update"}, {"k", _m.key}, {"x", encode(_m.executor)}, {"f", static_cast<int>(_m.fate)}};
-	if (_m.answer)
+	Json json{{"t", "update"},
+			  {"k", _message.key},
+			  {"x", encode(_message.executor)},
+			  {"f", static_cast<int>(_message.fate)}};
+	if (_message.answer)
 	{
-		json["a"] = encode(*_m.answer);
+		json["a"] = encode(*_message.answer);
 	}
 	return json;
 }
 
-Json encodeMessage(const Seal& _m)
+Json encodeMessage(const Seal& _message)
 {
 	Json claims = Json::array();
-	for (const Claim& claim : _m.claims)
+	for (const Claim& claim : _message.claims)
 	{
 		claims.push_back(encode(claim));
 	}
-	return {{"t", "seal"}, {"v", _m.version}, {"c", std::move(claims)}};
+	return {{"t", "seal"}, {"v", _message.version}, {"c", std::move(claims)}};
 }
 
-Json encodeMessage(const SealAck& _m)
+Json encodeMessage(const SealAck& _message)
 {
-	return {{"t", "sealed"}, {"v", _m.version}};
+	return {{"t", "sealed"}, {"v", _message.version}};
 }
 
-Json encodeMessage(const AttachAsk& _m)
+Json encodeMessage(const AttachAsk& _message)
 {
-	return {{"t", "attach"}, {"n", _m.attach}, {"k", _m.key}, {"x", encode(_m.executor)}, {"o", _m.offset}};
+	return {{"t", "attach"},
+			{"n", _message.attach},
+			{"k", _message.key},
+			{"x", encode(_message.executor)},
+			{"o", _message.offset}};
 }
 
-Json encodeMessage(const AttachTokens& _m)
+Json encodeMessage(const AttachTokens& _message)
 {
-	return {{"t", "tokens"}, {"n", _m.attach}, {"o", _m.offset}, {"s", encodeTokens(_m.tokens)}};
+	return {{"t", "tokens"}, {"n", _message.attach}, {"o", _message.offset}, {"s", encodeTokens(_message.tokens)}};
 }
 
-Json encodeMessage(const AttachEnd& _m)
+Json encodeMessage(const AttachEnd& _message)
 {
-	return {{"t", "end"},      {"n", _m.attach},         {"f", static_cast<int>(_m.fate)},
-			{"kept", _m.kept}, {"a", encode(_m.answer)}, {"c", _m.tokenCount}};
+	return {{"t", "end"},
+			{"n", _message.attach},
+			{"f", static_cast<int>(_message.fate)},
+			{"kept", _message.kept},
+			{"a", encode(_message.answer)},
+			{"c", _message.tokenCount}};
 }
 
-Json encodeMessage(const RequestHandover& _m)
+Json encodeMessage(const RequestHandover& _message)
 {
 	Json json{{"t", "handover"},
-			  {"n", _m.number},
-			  {"team", _m.team},
-			  {"service", _m.service},
-			  {"key", _m.callerKey},
-			  {"kind", static_cast<int>(_m.payload.kind)},
-			  {"method", _m.payload.method},
-			  {"path", _m.payload.path},
-			  {"type", _m.payload.contentType},
-			  {"body", encodeBytes(_m.payload.body)},
-			  {"prompt", encodeBytes(_m.payload.prompt)},
-			  {"most", _m.payload.maxTokens},
-			  {"ikey", _m.payload.idempotencyKey},
-			  {"tokens", encodeTokens(_m.tokens)},
-			  {"priority", _m.priority},
-			  {"left", _m.deadlineLeft}};
-	if (_m.released)
+			  {"n", _message.number},
+			  {"team", _message.team},
+			  {"service", _message.service},
+			  {"key", _message.callerKey},
+			  {"kind", static_cast<int>(_message.payload.kind)},
+			  {"method", _message.payload.method},
+			  {"path", _message.payload.path},
+			  {"type", _message.payload.contentType},
+			  {"body", encodeBytes(_message.payload.body)},
+			  {"prompt", encodeBytes(_message.payload.prompt)},
+			  {"most", _message.payload.maxTokens},
+			  {"ikey", _message.payload.idempotencyKey},
+			  {"tokens", encodeTokens(_message.tokens)},
+			  {"priority", _message.priority},
+			  {"left", _message.deadlineLeft}};
+	if (_message.released)
 	{
-		json["r"] = encode(*_m.released);
+		json["r"] = encode(*_message.released);
 	}
 	return json;
 }
 
-Json encodeMessage(const HandoverAck& _m)
+Json encodeMessage(const HandoverAck& _message)
 {
-	return {{"t", "taken"}, {"n", _m.number}};
+	return {{"t", "taken"}, {"n", _message.number}};
 }
 
 RequestHandover decodeHandover(const Json& _json)
@@ -374,8 +389,8 @@
 	return member;
 }
 
-/// Turns a wrong shape into this project's error.
-template <typename Read> auto checked(const char* _what, Read _read)
+/// Runs a decoder and reports a JSON exception as Error MalformedRequest.
+template <typename Read> auto decodeChecked(const char* _what, Read _read)
 {
 	try
 	{
@@ -393,7 +408,7 @@
 	Json messages = Json::array();
 	for (const PeerMessage& message : _envelope.messages)
 	{
-		messages.push_back(std::visit([](const auto& _m) { return encodeMessage(_m); }, message));
+		messages.push_back(std::visit([](const auto& _message) { return encodeMessage(_message); }, message));
 	}
 	const Json json{{"from", encode(_envelope.from)}, {"to", encode(_envelope.to)}, {"m", std::move(messages)}};
 	std::string bytes;
@@ -403,19 +418,19 @@
 
 PeerEnvelope decodeEnvelope(std::string_view _bytes)
 {
-	return checked("peer envelope",
-				   [&]
-				   {
-					   const Json json = Json::from_msgpack(_bytes.begin(), _bytes.end());
-					   PeerEnvelope envelope;
-					   envelope.from = decodeEntry(json.at("from"));
-					   envelope.to = decodeEntry(json.at("to"));
-					   for (const Json& item : json.at("m"))
-					   {
-						   envelope.messages.push_back(decodeMessage(item));
-					   }
-					   return envelope;
-				   });
+	return decodeChecked("peer envelope",
+						 [&]
+						 {
+							 const Json json = Json::from_msgpack(_bytes.begin(), _bytes.end());
+							 PeerEnvelope envelope;
+							 envelope.from = decodeEntry(json.at("from"));
+							 envelope.to = decodeEntry(json.at("to"));
+							 for (const Json& item : json.at("m"))
+							 {
+								 envelope.messages.push_back(decodeMessage(item));
+							 }
+							 return envelope;
+						 });
 }
 
 Json toJson(const Roster& _roster)
@@ -443,29 +458,29 @@
 
 Roster readRoster(const Json& _json)
 {
-	return checked("roster",
-				   [&]
-				   {
-					   Roster roster;
-					   roster.version = _json.at("version").get<std::uint64_t>();
-					   for (const Json& item : _json.at("members"))
-					   {
-						   roster.members.push_back(decodeMember(item));
-					   }
-					   for (const Json& item : _json.at("departed"))
-					   {
-						   roster.departed.push_back(DepartedMember{decodeMember(item)});
-					   }
-					   for (const Json& item : _json.at("lost"))
-					   {
-						   LostMember lost;
-						   lost.entry = decodeEntry(item.at("entry"));
-						   lost.joinedVersion = item.at("joined").get<std::uint64_t>();
-						   lost.lostVersion = item.at("lost").get<std::uint64_t>();
-						   roster.lost.push_back(std::move(lost));
-					   }
-					   return roster;
-				   });
+	return decodeChecked("roster",
+						 [&]
+						 {
+							 Roster roster;
+							 roster.version = _json.at("version").get<std::uint64_t>();
+							 for (const Json& item : _json.at("members"))
+							 {
+								 roster.members.push_back(decodeMember(item));
+							 }
+							 for (const Json& item : _json.at("departed"))
+							 {
+								 roster.departed.push_back(DepartedMember{decodeMember(item)});
+							 }
+							 for (const Json& item : _json.at("lost"))
+							 {
+								 LostMember lost;
+								 lost.entry = decodeEntry(item.at("entry"));
+								 lost.joinedVersion = item.at("joined").get<std::uint64_t>();
+								 lost.lostVersion = item.at("lost").get<std::uint64_t>();
+								 roster.lost.push_back(std::move(lost));
+							 }
+							 return roster;
+						 });
 }
 
 Json toJson(const VmView& _vms)
@@ -475,14 +490,14 @@
 
 VmView readVmView(const Json& _json)
 {
-	return checked("VM view",
-				   [&]
-				   {
-					   VmView vms;
-					   vms.leaving = _json.at("leaving").get<std::map<std::string, Micros>>();
-					   vms.gone = _json.at("gone").get<std::set<std::string>>();
-					   return vms;
-				   });
+	return decodeChecked("VM view",
+						 [&]
+						 {
+							 VmView vms;
+							 vms.leaving = _json.at("leaving").get<std::map<std::string, Micros>>();
+							 vms.gone = _json.at("gone").get<std::set<std::string>>();
+							 return vms;
+						 });
 }
 
 } // namespace beacongate
--- a/src/protocol/peercodec.h
+++ b/src/protocol/peercodec.h
@@ -2,8 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// JSON forms of what passes between this project's processes: peer messages, rosters,
-/// VM views and snapshots.
+/// Encodings of what this project's processes send each other: peer messages in MessagePack, rosters and VM views
+/// in JSON.
 
 #ifndef BEACONGATE_PROTOCOL_PEERCODEC_H
 #define BEACONGATE_PROTOCOL_PEERCODEC_H
@@ -18,7 +18,7 @@
 
 namespace beacongate
 {
-/// Messages of one entry in one HTTP body.
+/// Messages from one entry to another, sent in one HTTP body.
 struct PeerEnvelope
 {
 	EntryRef from;
@@ -26,20 +26,25 @@
 	std::vector<PeerMessage> messages;
 };
 
-/// @returns the envelope as msgpack.
+/// @returns the envelope in MessagePack.
 std::string encodeEnvelope(const PeerEnvelope& _envelope);
 
-/// @throws Error MalformedRequest where the bytes are no envelope.
+/// Decodes an envelope.
+/// @throws Error MalformedRequest where the bytes are not a valid envelope.
 PeerEnvelope decodeEnvelope(std::string_view _bytes);
 
+/// @returns the roster as JSON.
 Json toJson(const Roster& _roster);
 
-/// @throws Error MalformedRequest where the shape is wrong.
+/// Decodes a roster that toJson() encoded.
+/// @throws Error MalformedRequest where a member is missing or has the wrong type.
 Roster readRoster(const Json& _json);
 
+/// @returns the view of leaving and gone VMs as JSON.
 Json toJson(const VmView& _vms);
 
-/// @throws Error MalformedRequest where the shape is wrong.
+/// Decodes a VM view that toJson() encoded.
+/// @throws Error MalformedRequest where a member is missing or has the wrong type.
 VmView readVmView(const Json& _json);
 
 } // namespace beacongate
--- a/src/protocol/query.cpp
+++ b/src/protocol/query.cpp
@@ -23,11 +23,11 @@
 	throw Error(Failure::QueryInvalid, _what);
 }
 
-/// The words of a statement, read one after the other.
-class Words
+/// Splits a statement at white space and returns its words in order.
+class WordReader
 {
 public:
-	explicit Words(std::string_view _statement)
+	explicit WordReader(std::string_view _statement)
 	{
 		std::istringstream stream{std::string(_statement)};
 		std::string word;
@@ -60,7 +60,7 @@
 		}
 	}
 
-	void end() const
+	void expectEnd() const
 	{
 		if (!empty())
 		{
@@ -107,7 +107,7 @@
 	return _value.is_string() ? _value.get<std::string>() : _value.dump();
 }
 
-bool meets(const Json& _row, const Condition& _condition)
+bool meetsCondition(const Json& _row, const Condition& _condition)
 {
 	const std::string left = _row.contains(_condition.column) ? asText(_row[_condition.column]) : "";
 	const std::optional<double> a = asNumber(left);
@@ -130,18 +130,18 @@
 Json readValue(const std::string& _text)
 {
 	const Json value = Json::parse(_text, nullptr, false);
-	const bool plain = value.is_number() || value.is_boolean();
-	return plain ? value : Json(_text);
+	const bool isScalar = value.is_number() || value.is_boolean();
+	return isScalar ? value : Json(_text);
 }
 
-/// Finds the list and the item that "team NAME" and its like name.
-struct ItemPlace
+/// List of the configuration document that holds items of a kind, and the member that identifies an item in it.
+struct ItemLocation
 {
 	std::string list;
 	std::string idMember;
 };
 
-ItemPlace placeOf(const std::string& _kind)
+ItemLocation locationOf(const std::string& _kind)
 {
 	if ("team" == _kind)
 	{
@@ -158,9 +158,9 @@
 	reject("'" + _kind + "' is none of team, service, backend");
 }
 
-Json::iterator findItem(Json& _document, const ItemPlace& _place, const std::string& _name)
+Json::iterator findItem(Json& _document, const ItemLocation& _location, const std::string& _name)
 {
-	Json& list = _document[_place.list];
+	Json& list = _document[_location.list];
 	if (!list.is_array())
 	{
 		list = Json::array();
@@ -168,15 +168,15 @@
 	const auto it =
 		std::find_if(list.begin(), list.end(),
 					 [&](const Json& _item)
-					 { return _item.is_object() && _item.value(_place.idMember, std::string()) == _name; });
+					 { return _item.is_object() && _item.value(_location.idMember, std::string()) == _name; });
 	if (list.end() == it)
 	{
-		reject("there is no '" + _name + "' in " + _place.list);
+		reject("there is no '" + _name + "' in " + _location.list);
 	}
 	return it;
 }
 
-Json applyWhole(const Json& _document, std::string_view _text)
+Json replaceDocument(const Json& _document, std::string_view _text)
 {
 	Json next = parseJson(_text, Failure::ConfigInvalid);
 	if (!next.is_object())
@@ -205,7 +205,7 @@
 
 Query readQuery(std::string_view _statement)
 {
-	Words words(_statement);
+	WordReader words(_statement);
 	Query query;
 	const std::string verb = words.take("'show' or 'explain'");
 	if ("explain" == verb)
@@ -214,7 +214,7 @@
 		query.explain = true;
 		query.table = "requests";
 		query.id = words.take("a request id");
-		words.end();
+		words.expectEnd();
 		return query;
 	}
 	if ("show" != verb)
@@ -250,11 +250,11 @@
 {
 	for (const Condition& condition : _conditions)
 	{
-		const auto has = [&](const Json& _row)
+		const auto hasColumn = [&](const Json& _row)
 		{
 			return _row.contains(condition.column);
 		};
-		if (!_rows.empty() && std::none_of(_rows.begin(), _rows.end(), has))
+		if (!_rows.empty() && std::none_of(_rows.begin(), _rows.end(), hasColumn))
 		{
 			reject("there is no column '" + condition.column + "'");
 		}
@@ -262,11 +262,11 @@
 	Json chosen = Json::array();
 	for (const Json& row : _rows)
 	{
-		const auto met = [&](const Condition& _condition)
+		const auto isMet = [&](const Condition& _condition)
 		{
-			return meets(row, _condition);
+			return meetsCondition(row, _condition);
 		};
-		if (std::all_of(_conditions.begin(), _conditions.end(), met))
+		if (std::all_of(_conditions.begin(), _conditions.end(), isMet))
 		{
 			chosen.push_back(row);
 		}
@@ -278,39 +278,39 @@
 {
 	if (_statement.starts_with(kApply))
 	{
-		return applyWhole(_document, _statement.substr(kApply.size()));
+		return replaceDocument(_document, _statement.substr(kApply.size()));
 	}
-	Words words(_statement);
+	WordReader words(_statement);
 	Json next = _document;
 	const std::string verb = words.take("a change");
 	if ("drain" == verb || "undrain" == verb)
 	{
 		words.expect("backend");
 		const std::string id = words.take("a backend server's id");
-		words.end();
-		(*findItem(next, placeOf("backend"), id))["drained"] = "drain" == verb;
+		words.expectEnd();
+		(*findItem(next, locationOf("backend"), id))["drained"] = "drain" == verb;
 		return next;
 	}
 	if ("remove" == verb)
 	{
-		const ItemPlace place = placeOf(words.take("team, service or backend"));
+		const ItemLocation location = locationOf(words.take("team, service or backend"));
 		const std::string name = words.take("a name");
-		words.end();
-		next[place.list].erase(findItem(next, place, name));
+		words.expectEnd();
+		next[location.list].erase(findItem(next, location, name));
 		return next;
 	}
 	if ("set" == verb)
 	{
-		const ItemPlace place = placeOf(words.take("team, service or backend"));
+		const ItemLocation location = locationOf(words.take("team, service or backend"));
 		const std::string name = words.take("a name");
 		const std::string column = words.take("a column");
 		const std::string value = words.take("a value");
-		words.end();
-		if (column == place.idMember)
+		words.expectEnd();
+		if (column == location.idMember)
 		{
 			reject("'" + column + "' names the item and cannot be set");
 		}
-		(*findItem(next, place, name))[column] = readValue(value);
+		(*findItem(next, location, name))[column] = readValue(value);
 		return next;
 	}
 	reject("'" + verb + "' is none of show, explain, set, drain, undrain, remove, apply");
--- a/src/protocol/query.h
+++ b/src/protocol/query.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The operators' language: one grammar for queries and for changes.
+/// The operators' command language, with one grammar for queries and configuration changes.
 ///
 ///     statement  = query | change
 ///     query      = "show" table [ "where" condition { "and" condition } ]
@@ -25,6 +25,7 @@
 
 namespace beacongate
 {
+/// Comparison operator of a condition.
 enum class Compare
 {
 	Equal,
@@ -33,7 +34,7 @@
 	Greater,
 };
 
-/// One condition on a row.
+/// A condition on a column of a row.
 struct Condition
 {
 	std::string column;
@@ -41,28 +42,31 @@
 	std::string value;
 };
 
-/// A query that was read.
+/// A parsed query.
 struct Query
 {
 	bool explain = false;
-	std::string table; ///< Explain: "requests".
-	std::string id;    ///< Explain: which request.
+	std::string table; ///< "requests" where `explain` is set.
+	std::string id;    ///< Request to explain; empty for `show`.
 	std::vector<Condition> conditions;
 };
 
-/// @returns whether a statement asks and does not change.
+/// @returns true if the statement is a query; any other statement is a change.
 bool isQuery(std::string_view _statement);
 
-/// @throws Error QueryInvalid with the word that is wrong.
+/// Parses a query.
+/// @throws Error QueryInvalid that names the wrong word.
 Query readQuery(std::string_view _statement);
 
-/// @returns rows that meet all conditions.
 /// @param[in] _rows A list of objects.
-/// @throws Error QueryInvalid where no row has such a column.
+/// @returns the rows that meet all conditions.
+/// @throws Error QueryInvalid where there are rows and none has a column that a condition names.
 Json select(const Json& _rows, const std::vector<Condition>& _conditions);
 
 /// Applies a change to a configuration document.
-/// @throws Error QueryInvalid or ConfigInvalid.
+/// @returns the changed document, with its version and history as they were.
+/// @throws Error QueryInvalid where the statement is wrong, ConfigInvalid where an applied document is not a JSON
+/// object, ConfigStale where its version is older than the one in force.
 Json applyChange(const Json& _document, std::string_view _statement);
 
 } // namespace beacongate
--- a/src/protocol/retryafter.cpp
+++ b/src/protocol/retryafter.cpp
@@ -28,14 +28,14 @@
 	double seconds = 0.0;
 	const auto [end, error] =
 		std::from_chars(text.data(), text.data() + text.size(), seconds, std::chars_format::fixed);
-	const bool whole = error == std::errc{} && end == text.data() + text.size();
-	// The library also reads "inf" and "nan".
-	if (!whole || !std::isfinite(seconds) || seconds < 0.0)
+	const bool isNumber = error == std::errc{} && end == text.data() + text.size();
+	// std::from_chars() also accepts "inf" and "nan".
+	if (!isNumber || !std::isfinite(seconds) || seconds < 0.0)
 	{
 		return std::nullopt;
 	}
-	const double most = static_cast<double>(kMaxRetryAfter);
-	return static_cast<Micros>(std::min(most, std::ceil(seconds * static_cast<double>(kSecond))));
+	const double maxSpan = static_cast<double>(kMaxRetryAfter);
+	return static_cast<Micros>(std::min(maxSpan, std::ceil(seconds * static_cast<double>(kSecond))));
 }
 
 } // namespace beacongate
--- a/src/protocol/retryafter.h
+++ b/src/protocol/retryafter.h
@@ -14,11 +14,12 @@
 
 namespace beacongate
 {
-/// Longest span that is read as such; a longer one counts as this.
+/// Upper limit of the result; longer spans are reduced to it.
 inline constexpr Micros kMaxRetryAfter = 86'400 * kSecond;
 
-/// Reads a number of seconds, fractions allowed. Dates are not taken: they would need clocks that agree.
-/// @returns the span, or nothing where the text is no such number or is negative.
+/// Parses a number of seconds, which may have a fraction. HTTP dates are not accepted: they would need synchronized
+/// clocks.
+/// @returns the span, rounded up to whole microseconds; nullopt where the text is not a number or is negative.
 std::optional<Micros> parseRetryAfter(std::string_view _text);
 
 } // namespace beacongate
--- a/src/protocol/statedump.cpp
+++ b/src/protocol/statedump.cpp
@@ -111,12 +111,12 @@
 		{
 			continue;
 		}
-		const bool placed = 0 != request->attempt;
+		const bool isDispatched = 0 != request->attempt;
 		rows.push_back({{"id", requestName(_core.settings().self, id)},
 						{"team", _core.catalog().at(request->team).config.name},
 						{"service", _core.catalog().at(request->service).config.name},
 						{"state", nameOf(request->phase)},
-						{"backend", placed ? _core.backends().at(request->backend).config.id : ""},
+						{"backend", isDispatched ? _core.backends().at(request->backend).config.id : ""},
 						{"attempts", request->attempts},
 						{"tokens", request->tokens.size()},
 						{"priority", request->priority},
@@ -173,7 +173,7 @@
 	return rows;
 }
 
-Json statsOf(const EntryStats& _stats)
+Json statsJson(const EntryStats& _stats)
 {
 	return {{"accepted", _stats.accepted},
 			{"done", _stats.done},
@@ -199,7 +199,7 @@
 					  _json.at("vms").get<std::uint64_t>()};
 }
 
-template <typename Read> auto checked(const char* _what, const std::string& _text, Read _read)
+template <typename Read> auto decodeChecked(const char* _what, const std::string& _text, Read _read)
 {
 	const Json json = parseJson(_text, Failure::MalformedRequest);
 	try
@@ -226,7 +226,7 @@
 			   {"healthy", _core.healthy()},
 			   {"active", _core.activeRequests()}};
 	return {{"entry", std::move(entry)},
-			{"stats", statsOf(_core.stats())},
+			{"stats", statsJson(_core.stats())},
 			{"backends", backendRows(_core, _now)},
 			{"requests", requestRows(_core, _now)},
 			{"teams", teamRows(_core)},
@@ -278,16 +278,16 @@
 	const std::size_t last = _name.rfind(':');
 	const std::size_t first = std::string::npos == last || 0 == last ? last : _name.rfind(':', last - 1);
 	std::pair<EntryRef, RequestId> parsed;
-	const auto number = [&](std::size_t _from, std::size_t _to, std::uint64_t& _value)
+	const auto parseNumber = [&](std::size_t _from, std::size_t _to, std::uint64_t& _value)
 	{
 		const char* end = _name.data() + _to;
-		const auto [stop, error] = std::from_chars(_name.data() + _from, end, _value);
-		return std::errc{} == error && end == stop;
+		const auto [parseEnd, error] = std::from_chars(_name.data() + _from, end, _value);
+		return std::errc{} == error && end == parseEnd;
 	};
-	const bool whole = std::string::npos != first && first < last &&
-					   number(first + 1, last, parsed.first.incarnation) &&
-					   number(last + 1, _name.size(), parsed.second);
-	if (!whole)
+	const bool isValid = std::string::npos != first && first < last &&
+						 parseNumber(first + 1, last, parsed.first.incarnation) &&
+						 parseNumber(last + 1, _name.size(), parsed.second);
+	if (!isValid)
 	{
 		throw Error(Failure::QueryInvalid, "'" + _name + "' is no request id (entry:incarnation:number)");
 	}
@@ -298,7 +298,7 @@
 std::string formatEntryMetrics(const EntryCore& _core)
 {
 	std::ostringstream text;
-	const Json stats = statsOf(_core.stats());
+	const Json stats = statsJson(_core.stats());
 	for (const auto& [name, value] : stats.items())
 	{
 		text << "# TYPE beacongate_" << name << "_total counter\n";
@@ -322,17 +322,17 @@
 
 EntryReported readEntryReport(const std::string& _text)
 {
-	return checked("entry report", _text,
-				   [](const Json& _json)
-				   {
-					   EntryReported report;
-					   report.entry.id = _json.at("id").get<std::string>();
-					   report.entry.incarnation = _json.at("incarnation").get<std::uint64_t>();
-					   report.versions = readVersions(_json.at("versions"));
-					   report.stopping = _json.at("stopping").get<bool>();
-					   report.drained = _json.at("drained").get<bool>();
-					   return report;
-				   });
+	return decodeChecked("entry report", _text,
+						 [](const Json& _json)
+						 {
+							 EntryReported report;
+							 report.entry.id = _json.at("id").get<std::string>();
+							 report.entry.incarnation = _json.at("incarnation").get<std::uint64_t>();
+							 report.versions = readVersions(_json.at("versions"));
+							 report.stopping = _json.at("stopping").get<bool>();
+							 report.drained = _json.at("drained").get<bool>();
+							 return report;
+						 });
 }
 
 Json toJson(const PeerExchange& _exchange)
@@ -351,22 +351,22 @@
 
 PeerExchange readExchange(const std::string& _text)
 {
-	return checked("exchange", _text,
-				   [](const Json& _json)
-				   {
-					   PeerExchange exchange;
-					   exchange.from =
-						   readAddress(_json.at("from").get<std::string>(), "exchange", Failure::MalformedRequest);
-					   exchange.versions = readVersions(_json.at("versions"));
-					   exchange.configText = _json.at("config").get<std::string>();
-					   exchange.rosterText = _json.at("roster").get<std::string>();
-					   exchange.isReply = _json.at("reply").get<bool>();
-					   if (_json.contains("vms"))
-					   {
-						   exchange.vms = readVmView(_json.at("vms"));
-					   }
-					   return exchange;
-				   });
+	return decodeChecked("exchange", _text,
+						 [](const Json& _json)
+						 {
+							 PeerExchange exchange;
+							 exchange.from = readAddress(_json.at("from").get<std::string>(), "exchange",
+														 Failure::MalformedRequest);
+							 exchange.versions = readVersions(_json.at("versions"));
+							 exchange.configText = _json.at("config").get<std::string>();
+							 exchange.rosterText = _json.at("roster").get<std::string>();
+							 exchange.isReply = _json.at("reply").get<bool>();
+							 if (_json.contains("vms"))
+							 {
+								 exchange.vms = readVmView(_json.at("vms"));
+							 }
+							 return exchange;
+						 });
 }
 
 } // namespace beacongate
--- a/src/protocol/usagecodec.h
+++ b/src/protocol/usagecodec.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Usage counts as they are kept in the store.
+/// JSON encoding of the usage counts that are kept in the store.
 
 #ifndef BEACONGATE_PROTOCOL_USAGECODEC_H
 #define BEACONGATE_PROTOCOL_USAGECODEC_H
@@ -17,16 +17,17 @@
 
 namespace beacongate
 {
-/// @returns the counts of all runs as text.
+/// @returns the counts of all gateway runs as JSON.
 std::string encodeRunCounts(const RunCounts& _counts);
 
-/// @returns the counts; none where the text makes no sense.
+/// @returns the counts; an empty list where the text cannot be decoded.
 RunCounts decodeRunCounts(std::string_view _text);
 
-/// @returns a window's totals by team as text.
+/// @returns the totals of one usage window by team, as JSON.
 std::string encodeTotals(const std::map<std::string, std::uint64_t>& _totals);
 
-/// @throws Error StoreUnavailable where the text makes no sense.
+/// Decodes a window's totals.
+/// @throws Error StoreUnavailable where the text cannot be decoded.
 std::map<std::string, std::uint64_t> decodeTotals(std::string_view _text);
 
 } // namespace beacongate
