--- a/src/daemon/backendadapter.cpp
+++ b/src/daemon/backendadapter.cpp
@@ -15,11 +15,11 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kFirstServerError = 500;
 constexpr std::size_t kErrorBodyBytes = 64u << 10;
-/// Calls from this number on ask for load reports; attempts stay far below.
+/// Calls with this number or above request load reports; the numbers of attempts stay far below.
 constexpr std::uint64_t kFirstLoadCall = std::uint64_t{1} << 62;
 constexpr Micros kLoadTimeout = 1 * kSecond;
-/// A backend server says with this header that it has not taken the request.
-constexpr std::string_view kNotTaken = "Beacongate-Not-Taken";
+/// Header of a backend server's answer which says that it has not accepted the request.
+constexpr std::string_view kNotAcceptedHeader = "Beacongate-Not-Taken";
 } // namespace
 
 BackendAdapter::BackendAdapter(IoLoop& _loop, std::function<bool(Event)> _submit)
@@ -45,15 +45,15 @@
 
 void BackendAdapter::apply(Action& _action, Micros _now)
 {
-	if (const StartAttempt* begin = std::get_if<StartAttempt>(&_action))
+	if (const StartAttempt* startAttempt = std::get_if<StartAttempt>(&_action))
 	{
-		start(*begin, _now);
+		start(*startAttempt, _now);
 		return;
 	}
-	if (const CancelAttempt* cancel = std::get_if<CancelAttempt>(&_action))
+	if (const CancelAttempt* cancelAttempt = std::get_if<CancelAttempt>(&_action))
 	{
-		m_attempts.erase(cancel->attempt);
-		m_client.cancel(cancel->attempt);
+		m_attempts.erase(cancelAttempt->attempt);
+		m_client.cancel(cancelAttempt->attempt);
 	}
 }
 
@@ -62,7 +62,7 @@
 	const CallPayload& payload = *_start.payload;
 	Attempt attempt;
 	attempt.model = ServiceKind::Model == payload.kind;
-	attempt.next = nullptr == _start.delivered ? 0 : _start.delivered->size();
+	attempt.nextOffset = nullptr == _start.delivered ? 0 : _start.delivered->size();
 	HttpCall call;
 	call.id = _start.attempt;
 	call.address = _start.address;
@@ -113,7 +113,7 @@
 {
 	AttemptTokens tokens;
 	tokens.attempt = _id;
-	tokens.offset = _attempt.next;
+	tokens.offset = _attempt.nextOffset;
 	bool ended = false;
 	for (const SseEvent& event : _attempt.reader.feed(_bytes))
 	{
@@ -123,14 +123,15 @@
 		{
 			continue;
 		}
-		const std::uint64_t offset = chunk.offset.value_or(_attempt.next);
+		const std::uint64_t offset = chunk.offset.value_or(_attempt.nextOffset);
 		if (offset != tokens.offset + tokens.tokens.size())
 		{
-			// Out of order: the core judges each run of tokens by its own offset.
+			// The chunk is out of order: tokens with consecutive offsets are submitted together, and the core
+			// checks the offset of each group.
 			submit(_id, std::exchange(tokens, AttemptTokens{_id, offset, {}}));
 		}
 		tokens.tokens.push_back(*chunk.token);
-		_attempt.next = offset + 1;
+		_attempt.nextOffset = offset + 1;
 	}
 	if (!tokens.tokens.empty())
 	{
@@ -138,8 +139,8 @@
 	}
 	if (ended && m_attempts.contains(_id))
 	{
-		// The connection is left to end by itself; nothing after the terminal event counts.
-		const std::uint64_t count = _attempt.next;
+		// Data after the terminal event is ignored; the connection is not closed here.
+		const std::uint64_t count = _attempt.nextOffset;
 		m_attempts.erase(_id);
 		if (!m_submit(AttemptDone{_id, kOk, {}, {}, count}))
 		{
@@ -160,7 +161,7 @@
 	{
 		return;
 	}
-	if (!findHeader(_answer.headers, kNotTaken).empty())
+	if (!findHeader(_answer.headers, kNotAcceptedHeader).empty())
 	{
 		fail(_id, AttemptFault::Fenced);
 		return;
@@ -174,7 +175,7 @@
 		return;
 	}
 	const bool refused = kOk != attempt.status && attempt.status < kFirstServerError;
-	// A stream that ends without its terminal event is not an answer.
+	// A stream that ends without its terminal event is not a valid answer.
 	fail(_id, refused ? AttemptFault::Refused : AttemptFault::Broken, attempt.status, attempt.errorBody);
 }
 
@@ -194,7 +195,7 @@
 	AttemptFailed failed{_id, _fault, _status, std::move(_body)};
 	if (!m_submit(failed))
 	{
-		m_unsent.push_back(std::move(failed));
+		m_unsubmitted.push_back(std::move(failed));
 	}
 }
 
@@ -204,16 +205,16 @@
 	{
 		return;
 	}
-	// Nothing may be skipped: an attempt whose events do not fit in the ring has failed.
+	// No event of an attempt may be skipped, so an attempt whose event does not fit into the ring fails.
 	m_client.cancel(_id);
 	fail(_id, AttemptFault::Broken);
 }
 
 void BackendAdapter::retrySubmits()
 {
-	while (!m_unsent.empty() && m_submit(m_unsent.front()))
+	while (!m_unsubmitted.empty() && m_submit(m_unsubmitted.front()))
 	{
-		m_unsent.pop_front();
+		m_unsubmitted.pop_front();
 	}
 }
 
@@ -250,7 +251,7 @@
 	}
 	catch (const Json::exception&)
 	{
-		return; // A report that makes no sense is as good as none.
+		return; // A malformed report is ignored.
 	}
 	m_submit(std::move(reported));
 }
--- a/src/daemon/backendadapter.h
+++ b/src/daemon/backendadapter.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The backend servers' side of an entry: attempts become HTTP calls, answers become events.
+/// Connects an entry's core to its backend servers: attempts become HTTP calls, answers become events.
 
 #ifndef BEACONGATE_DAEMON_BACKENDADAPTER_H
 #define BEACONGATE_DAEMON_BACKENDADAPTER_H
@@ -17,30 +17,30 @@
 
 namespace beacongate
 {
-/// Translates for one HttpClient; everything runs on its loop's thread.
+/// Translates between the core's actions and events and one HttpClient. Everything runs on the thread of its loop.
 class BackendAdapter
 {
 public:
-	/// @param[in] _submit Hands an event to the core; false where its ring is full.
+	/// @param[in] _submit Passes an event to the core; returns false where the core's ring is full.
 	BackendAdapter(IoLoop& _loop, std::function<bool(Event)> _submit);
 
 	/// Starts or cancels an attempt; other actions are ignored.
 	void apply(Action& _action, Micros _now);
 
-	/// Hands over the failures that found the ring full.
+	/// Submits again the failures that could not be submitted because the ring was full.
 	void retrySubmits();
 
-	/// Asks backend servers for their load reports.
-	/// @param[in] _backends Ids and addresses.
+	/// Requests the load reports of backend servers.
+	/// @param[in] _backends Their ids and addresses.
 	void pollLoad(const std::vector<std::pair<std::string, Address>>& _backends);
 
 private:
-	/// One attempt that runs.
+	/// State of a running attempt.
 	struct Attempt
 	{
 		bool model = false;
 		unsigned status = 0;
-		std::uint64_t next = 0; ///< Offset of the next token, where chunks carry none.
+		std::uint64_t nextOffset = 0; ///< Offset of the next token, for chunks without an offset.
 		std::string errorBody;
 		SseReader reader;
 	};
@@ -57,8 +57,8 @@
 	std::function<bool(Event)> m_submit;
 	HttpClient m_client;
 	std::unordered_map<AttemptId, Attempt> m_attempts;
-	std::deque<AttemptFailed> m_unsent;
-	std::unordered_map<std::uint64_t, std::string> m_loadCalls; ///< Call to backend server's id.
+	std::deque<AttemptFailed> m_unsubmitted;
+	std::unordered_map<std::uint64_t, std::string> m_loadCalls; ///< Backend server's id by call.
 	std::uint64_t m_nextLoadCall;
 };
 
--- a/src/daemon/calleradapter.cpp
+++ b/src/daemon/calleradapter.cpp
@@ -13,13 +13,14 @@
 {
 namespace
 {
-constexpr std::string_view kBearer = "Bearer ";
-constexpr std::string_view kServices = "/services/";
+constexpr std::string_view kBearerPrefix = "Bearer ";
+constexpr std::string_view kServicePrefix = "/services/";
 constexpr Failure kMalformed = Failure::MalformedRequest;
-constexpr int kMostPriority = 9;
+constexpr int kMaxPriority = 9;
 
-/// Reads a header that holds a number; an absent one is 0.
-std::uint64_t numberHeader(const HttpRequest& _request, std::string_view _name, std::uint64_t _most)
+/// Reads a header that holds a number; a missing header counts as 0.
+/// @throws Error MalformedRequest where the value is not a number or exceeds `_max`.
+std::uint64_t numberHeader(const HttpRequest& _request, std::string_view _name, std::uint64_t _max)
 {
 	const std::string_view text = findHeader(_request.headers, _name);
 	if (text.empty())
@@ -29,9 +30,9 @@
 	std::uint64_t value = 0;
 	const char* last = text.data() + text.size();
 	const auto [end, error] = std::from_chars(text.data(), last, value);
-	if (std::errc{} != error || last != end || value > _most)
+	if (std::errc{} != error || last != end || value > _max)
 	{
-		throw Error(kMalformed, std::string(_name) + ": has to be a number from 0 to " + std::to_string(_most));
+		throw Error(kMalformed, std::string(_name) + ": has to be a number from 0 to " + std::to_string(_max));
 	}
 	return value;
 }
@@ -39,11 +40,11 @@
 std::string readKey(const HttpRequest& _request)
 {
 	const std::string_view key = findHeader(_request.headers, "Idempotency-Key");
-	const auto printable = [](char _c)
+	const auto isPrintable = [](char _c)
 	{
 		return '!' <= _c && _c <= '~';
 	};
-	if (key.size() > limits::kKeyBytes || !std::all_of(key.begin(), key.end(), printable))
+	if (key.size() > limits::kKeyBytes || !std::all_of(key.begin(), key.end(), isPrintable))
 	{
 		throw Error(Failure::KeyInvalid,
 					"Idempotency-Key: has to be at most 128 printable characters without spaces");
@@ -54,22 +55,22 @@
 std::string readToken(const HttpRequest& _request)
 {
 	const std::string_view value = findHeader(_request.headers, "Authorization");
-	if (!value.starts_with(kBearer))
+	if (!value.starts_with(kBearerPrefix))
 	{
 		throw Error(Failure::UnknownToken, "Authorization: a bearer token is needed");
 	}
-	return std::string(value.substr(kBearer.size()));
+	return std::string(value.substr(kBearerPrefix.size()));
 }
 
-/// Reads what model and plain requests share.
+/// Reads the headers that model requests and plain requests have in common.
 void readCommon(const HttpRequest& _request, CallerRequest& _event)
 {
-	constexpr std::uint64_t kMostMillis = limits::kMaxDeadline / kMillisecond;
+	constexpr std::uint64_t kMaxDeadlineMs = limits::kMaxDeadline / kMillisecond;
 	_event.token = readToken(_request);
 	_event.key = readKey(_request);
 	_event.deadline =
-		static_cast<Micros>(numberHeader(_request, "Beacongate-Deadline-Ms", kMostMillis)) * kMillisecond;
-	_event.priority = static_cast<int>(numberHeader(_request, "Beacongate-Priority", kMostPriority));
+		static_cast<Micros>(numberHeader(_request, "Beacongate-Deadline-Ms", kMaxDeadlineMs)) * kMillisecond;
+	_event.priority = static_cast<int>(numberHeader(_request, "Beacongate-Priority", kMaxPriority));
 	_event.issuedVersion = numberHeader(_request, "Beacongate-Issued-Version", ~0ull);
 }
 } // namespace
@@ -102,7 +103,7 @@
 			const bool chat = "/v1/chat/completions" == _request.target;
 			event = readModel(chat ? OpenAiEndpoint::Chat : OpenAiEndpoint::Completions, _request, exchange);
 		}
-		else if (_request.target.starts_with(kServices))
+		else if (_request.target.starts_with(kServicePrefix))
 		{
 			event = readPlain(_request);
 		}
@@ -149,7 +150,7 @@
 
 CallerRequest CallerAdapter::readPlain(const HttpRequest& _request) const
 {
-	const std::string rest = _request.target.substr(kServices.size());
+	const std::string rest = _request.target.substr(kServicePrefix.size());
 	const std::size_t slash = std::min(rest.find('/'), rest.size());
 	CallerRequest event;
 	readCommon(_request, event);
@@ -168,7 +169,7 @@
 {
 	if (0 != m_exchanges.erase(_exchange))
 	{
-		// A full ring loses this event; the request then runs on until it ends by itself.
+		// If the ring is full, the event is lost and the request runs until it completes.
 		m_submit(CallerGone{_exchange});
 	}
 }
@@ -297,7 +298,7 @@
 	body["offset"] = _action.offset;
 	if (started)
 	{
-		// No terminal event and no outcome: the answer goes on elsewhere.
+		// There is neither a terminal event nor an outcome, because another entry continues the answer.
 		m_server->sendChunk(_action.exchange, errorEvent(body));
 		m_server->endStream(_action.exchange, {});
 		return;
--- a/src/daemon/calleradapter.h
+++ b/src/daemon/calleradapter.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The callers' side of an entry: HTTP requests become events, answers become HTTP.
+/// Connects callers to an entry's core: HTTP requests become events, the core's answers become HTTP answers.
 
 #ifndef BEACONGATE_DAEMON_CALLERADAPTER_H
 #define BEACONGATE_DAEMON_CALLERADAPTER_H
@@ -18,32 +18,35 @@
 
 namespace beacongate
 {
-/// Translates for one HttpServer; everything runs on its loop's thread.
+/// Translates between one HttpServer and the core's events and actions. Everything runs on the thread of its loop.
 class CallerAdapter
 {
 public:
-	/// What the entry tells callers beside their answers.
+	/// State of the entry that callers are told in addition to their answers.
 	struct EntryStatus
 	{
 		std::atomic<bool> healthy = false;
 		std::atomic<std::uint64_t> rosterVersion = 0;
 	};
 
-	/// @param[in] _submit Hands an event to the core; false where its ring is full.
+	/// @param[in] _submit Passes an event to the core; returns false where the core's ring is full.
 	CallerAdapter(EntryRef _self, const EntryStatus& _entryStatus, std::function<bool(Event)> _submit);
 
-	/// Sets the server that answers go to.
+	/// Sets the server that sends the answers.
 	void setServer(HttpServer& _server);
 
+	/// Passes a request to the core, or answers it with an error.
 	void onRequest(ExchangeId _exchange, HttpRequest&& _request);
+	/// Tells the core that the caller has closed its connection.
 	void onDisconnected(ExchangeId _exchange);
+	/// @returns the answer to a request that the server could not parse.
 	HttpAnswer onMalformed(Failure _failure, const std::string& _detail) const;
 
-	/// Carries out an action; those that are not for callers are ignored.
+	/// Carries out an action of the core; actions that do not concern callers are ignored.
 	void apply(Action& _action);
 
 private:
-	/// How one exchange has to be answered.
+	/// State of one exchange with a caller.
 	struct Exchange
 	{
 		bool model = false;
@@ -51,7 +54,7 @@
 		bool started = false;
 		OpenAiEndpoint endpoint = OpenAiEndpoint::Chat;
 		std::string modelName;
-		std::string text; ///< Of an answer that is not streamed.
+		std::string text; ///< Generated so far, where the answer is not streamed.
 	};
 
 	CallerRequest readModel(OpenAiEndpoint _endpoint, const HttpRequest& _request, Exchange& _exchange) const;
--- a/src/daemon/clock.h
+++ b/src/daemon/clock.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The one place where the daemons read a clock.
+/// Clock reads of the daemons, which read no clock anywhere else.
 
 #ifndef BEACONGATE_DAEMON_CLOCK_H
 #define BEACONGATE_DAEMON_CLOCK_H
@@ -13,14 +13,14 @@
 
 namespace beacongate
 {
-/// @returns monotonic time.
+/// @returns the monotonic time in microseconds.
 inline Micros monotonicNow()
 {
 	const auto now = std::chrono::steady_clock::now().time_since_epoch();
 	return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-/// @returns a number that a later start of a process on the same VM makes larger.
+/// @returns an incarnation number, which is larger for a process that starts later on the same VM.
 inline std::uint64_t newIncarnation()
 {
 	const auto now = std::chrono::system_clock::now().time_since_epoch();
--- a/src/daemon/controlapp.cpp
+++ b/src/daemon/controlapp.cpp
@@ -19,11 +19,11 @@
 {
 namespace
 {
-constexpr std::chrono::milliseconds kTick{20};
-constexpr Micros kEntryPollSpan = 250 * kMillisecond;
-constexpr std::size_t kBatch = 256; ///< Events between two ticks.
-constexpr std::size_t kBodyBytes = 2u << 20;
-constexpr std::size_t kChangesKept = 256;
+constexpr std::chrono::milliseconds kTickInterval{20};
+constexpr Micros kEntryPollInterval = 250 * kMillisecond;
+constexpr std::size_t kMaxBatchEvents = 256; ///< Maximum events between two ticks.
+constexpr std::size_t kMaxBodyBytes = 2u << 20;
+constexpr std::size_t kMaxStoredChanges = 256;
 constexpr unsigned kOk = 200;
 constexpr unsigned kFirstClientError = 400;
 constexpr unsigned kFirstServerError = 500;
@@ -48,7 +48,7 @@
 								  {
 									  return HttpAnswer{failureInfo(_failure).status, {}, _detail};
 								  }},
-			   kBodyBytes),
+			   kMaxBodyBytes),
 	  m_client(m_loop, HttpClientHandlers{[](std::uint64_t, unsigned) {}, [](std::uint64_t, const std::string&) {},
 										  [this](std::uint64_t _call, const HttpAnswer& _answer)
 										  { onAnswer(_call, _answer); },
@@ -65,12 +65,12 @@
 			 {"state",
 			  [this](const std::string&)
 			  {
-				  return m_queue.ask([](const ControlCore& _core) { return dumpControl(_core).dump(); });
+				  return m_queue.query([](const ControlCore& _core) { return dumpControl(_core).dump(); });
 			  }},
 			 {"config",
 			  [this](const std::string&)
 			  {
-				  return m_queue.ask([](const ControlCore& _core) { return _core.config().text; });
+				  return m_queue.query([](const ControlCore& _core) { return _core.config().text; });
 			  }},
 			 {"members",
 			  [this](const std::string&)
@@ -120,7 +120,7 @@
 	{
 		return;
 	}
-	m_ending = true;
+	m_isShuttingDown = true;
 	m_queue.wake();
 	m_storeWakeup.notify();
 	m_coreThread.join();
@@ -136,19 +136,19 @@
 void ControlApp::runCore()
 {
 	ControlActions actions;
-	while (!m_ending)
+	while (!m_isShuttingDown)
 	{
-		m_queue.drain(m_core, kBatch,
+		m_queue.drain(m_core, kMaxBatchEvents,
 					  [&](ControlEvent _event) { m_core.handle(std::move(_event), monotonicNow(), actions); });
-		const bool led = m_core.isLeader();
+		const bool wasLeader = m_core.isLeader();
 		m_core.handle(ControlTick{}, monotonicNow(), actions);
 		route(actions);
-		if (led != m_core.isLeader())
+		if (wasLeader != m_core.isLeader())
 		{
 			logEvent(LogLevel::Info, "leadership",
-					 {{"dataCentre", m_options.core.dataCentre}, {"leader", led ? "no" : "yes"}});
+					 {{"dataCentre", m_options.core.dataCentre}, {"leader", wasLeader ? "no" : "yes"}});
 		}
-		m_queue.wait(kTick);
+		m_queue.wait(kTickInterval);
 	}
 }
 
@@ -159,7 +159,7 @@
 		if (isStoreAction(action))
 		{
 			auto message = std::make_unique<ControlAction>(std::move(action));
-			m_toStore.push(message); // At most one is under way, so there is always room.
+			m_toStore.push(message); // At most one store call is in flight, so the ring always has room.
 			m_storeWakeup.notify();
 			continue;
 		}
@@ -177,7 +177,7 @@
 
 void ControlApp::runStore()
 {
-	while (!m_ending)
+	while (!m_isShuttingDown)
 	{
 		const std::unique_ptr<ControlAction> action = m_toStore.pop();
 		if (nullptr == action)
@@ -186,7 +186,7 @@
 			continue;
 		}
 		StoreAnswered answered = callStore(*action);
-		while (!m_ending && !m_queue.submit(answered))
+		while (!m_isShuttingDown && !m_queue.submit(answered))
 		{
 			std::this_thread::yield();
 		}
@@ -330,7 +330,7 @@
 void ControlApp::pollEntry()
 {
 	startCall(CallKind::EntrySync, m_options.entry, "POST", "/rpc", rpcRequest("sync", "{}"));
-	m_loop.after(kEntryPollSpan, [this] { pollEntry(); });
+	m_loop.after(kEntryPollInterval, [this] { pollEntry(); });
 }
 
 HttpAnswer ControlApp::answerHttp(HttpRequest& _request)
@@ -344,7 +344,7 @@
 		if ("GET" == _request.method && "/debug/state" == _request.target)
 		{
 			const std::string text =
-				m_queue.ask([](const ControlCore& _core) { return dumpControl(_core).dump(2) + "\n"; });
+				m_queue.query([](const ControlCore& _core) { return dumpControl(_core).dump(2) + "\n"; });
 			return HttpAnswer{kOk, {{"Content-Type", "application/json"}}, text};
 		}
 		if ("GET" == _request.method && "/health" == _request.target)
@@ -363,7 +363,7 @@
 
 std::string ControlApp::members()
 {
-	return m_queue.ask(
+	return m_queue.query(
 		[](const ControlCore& _core)
 		{
 			Json rows = Json::array();
@@ -391,7 +391,7 @@
 		const std::lock_guard lock(m_changesMutex);
 		change.ask = m_nextChange++;
 		m_changes.emplace(change.ask, std::nullopt);
-		while (m_changes.size() > kChangesKept)
+		while (m_changes.size() > kMaxStoredChanges)
 		{
 			m_changes.erase(m_changes.begin());
 		}
--- a/src/daemon/controlapp.h
+++ b/src/daemon/controlapp.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The control daemon: a thread each for decisions, the network and the store.
+/// The control daemon. It has one thread each for decisions (the core), the network and the store.
 
 #ifndef BEACONGATE_DAEMON_CONTROLAPP_H
 #define BEACONGATE_DAEMON_CONTROLAPP_H
@@ -27,12 +27,12 @@
 
 namespace beacongate
 {
-/// Settings of a control, checked.
+/// Validated settings of a control process.
 struct ControlOptions
 {
 	ControlSettings core;
-	Address listen; ///< For other controls and operators.
-	Address entry;  ///< The internal address of the entry beside it.
+	Address listen; ///< For other control processes and operators.
+	Address entry;  ///< Internal address of the entry on the same VM.
 	Address store;
 	std::optional<Address> vmList;
 };
@@ -46,18 +46,18 @@
 	ControlApp(const ControlApp&) = delete;
 	ControlApp& operator=(const ControlApp&) = delete;
 
-	/// Binds the address and starts the threads.
+	/// Binds the listen address and starts the threads.
 	/// @throws Error SettingInvalid where the address cannot be bound.
 	void init();
 
-	/// Ends the threads.
+	/// Stops the threads.
 	void shutdown();
 
-	/// @returns the port in use, also where 0 was asked for.
+	/// @returns the bound port, also where the settings give port 0.
 	std::uint16_t port() const;
 
 private:
-	/// Where a call of the network thread belongs.
+	/// Purpose of an HTTP call of the network thread.
 	enum class CallKind
 	{
 		EntrySync,
@@ -82,7 +82,7 @@
 	std::string members();
 
 	ControlOptions m_options;
-	ControlCore m_core; ///< Of the core thread alone.
+	ControlCore m_core; ///< Used by the core thread only.
 	CoreQueue<ControlCore, ControlEvent> m_queue;
 	IoLoop m_loop;
 	HttpServer m_server;
@@ -96,9 +96,9 @@
 	Wakeup m_storeWakeup;
 	std::thread m_coreThread;
 	std::thread m_storeThread;
-	std::atomic<bool> m_ending = false;
+	std::atomic<bool> m_isShuttingDown = false;
 
-	std::mutex m_changesMutex; ///< Guards the answers that operators fetch.
+	std::mutex m_changesMutex; ///< Guards m_changes and m_nextChange.
 	std::map<std::uint64_t, std::optional<AnswerOperator>> m_changes;
 	std::uint64_t m_nextChange = 1;
 };
--- a/src/daemon/corequeue.h
+++ b/src/daemon/corequeue.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The way into a decision thread: events, and questions that only it can answer.
+/// Queue into a core's thread, for events and for queries of the core's state.
 
 #ifndef BEACONGATE_DAEMON_COREQUEUE_H
 #define BEACONGATE_DAEMON_COREQUEUE_H
@@ -20,86 +20,88 @@
 
 namespace beacongate
 {
-/// Bounded queue of one core.
+/// Bounded queue of one core; many threads submit and the core's thread drains.
 /// @tparam Core EntryCore or ControlCore.
-/// @tparam CoreEvent What the core takes in.
+/// @tparam CoreEvent Event type of the core.
 template <typename Core, typename CoreEvent> class CoreQueue
 {
 public:
-	/// Reads the core on its own thread.
+	/// Reads the core's state on the core's thread.
 	using Read = std::function<std::string(const Core&)>;
 
-	/// Hands an event over; may be called from any thread.
+	/// Enqueues an event; may be called from any thread.
 	/// @returns false where the queue is full.
 	bool submit(CoreEvent _event)
 	{
 		return push(std::make_unique<Message>(std::move(_event)));
 	}
 
-	/// Asks the core's thread and waits for its answer.
-	/// @throws Error Overloaded where there is none in time.
-	std::string ask(Read _read)
+	/// Runs a read on the core's thread and waits for its result.
+	/// @throws Error Overloaded where the queue is full or the result does not arrive within kQueryTimeout.
+	std::string query(Read _read)
 	{
-		Question question{std::move(_read), std::make_shared<std::promise<std::string>>()};
-		std::future<std::string> answer = question.answer->get_future();
-		if (!push(std::make_unique<Message>(std::move(question))))
+		PendingQuery pendingQuery{std::move(_read), std::make_shared<std::promise<std::string>>()};
+		std::future<std::string> answer = pendingQuery.answer->get_future();
+		if (!push(std::make_unique<Message>(std::move(pendingQuery))))
 		{
 			throw Error(Failure::Overloaded, "the decision thread has too much to do");
 		}
-		if (std::future_status::ready != answer.wait_for(kAnswerWait))
+		if (std::future_status::ready != answer.wait_for(kQueryTimeout))
 		{
 			throw Error(Failure::Overloaded, "the decision thread did not answer in time");
 		}
 		return answer.get();
 	}
 
-	/// Takes what waits, on the core's thread.
-	/// @param[in] _most Messages that are taken at the most.
-	/// @param[in] _handle Called with each event; questions are answered from `_core`.
-	/// @returns number of messages taken.
-	template <typename Handle> std::size_t drain(const Core& _core, std::size_t _most, Handle _handle)
+	/// Processes waiting messages; called on the core's thread.
+	/// @param[in] _core Core that queries read.
+	/// @param[in] _maxMessages Maximum number of messages to process.
+	/// @param[in] _handle Called with each event.
+	/// @returns the number of messages processed.
+	template <typename Handle> std::size_t drain(const Core& _core, std::size_t _maxMessages, Handle _handle)
 	{
-		std::size_t taken = 0;
-		while (taken < _most)
+		std::size_t processed = 0;
+		while (processed < _maxMessages)
 		{
 			const std::unique_ptr<Message> message = m_ring.pop();
 			if (nullptr == message)
 			{
 				break;
 			}
-			++taken;
+			++processed;
 			if (CoreEvent* event = std::get_if<CoreEvent>(message.get()))
 			{
 				_handle(std::move(*event));
 				continue;
 			}
-			Question& question = std::get<Question>(*message);
-			question.answer->set_value(question.read(_core));
+			PendingQuery& pendingQuery = std::get<PendingQuery>(*message);
+			pendingQuery.answer->set_value(pendingQuery.read(_core));
 		}
-		return taken;
+		return processed;
 	}
 
-	/// Waits until something was handed over, wake() was called or the span is over.
+	/// Waits until a message is enqueued, wake() is called or the span has elapsed.
 	void wait(std::chrono::microseconds _span)
 	{
 		m_wakeup.wait(_span);
 	}
 
-	/// Ends a wait.
+	/// Ends the current or the next wait().
 	void wake()
 	{
 		m_wakeup.notify();
 	}
 
 private:
-	static constexpr std::chrono::seconds kAnswerWait{2};
+	static constexpr std::chrono::seconds kQueryTimeout{2};
 
-	struct Question
+	/// A read that waits for the core's thread.
+	struct PendingQuery
 	{
 		Read read;
 		std::shared_ptr<std::promise<std::string>> answer;
 	};
-	using Message = std::variant<CoreEvent, Question>;
+	using Message = std::variant<CoreEvent, PendingQuery>;
 
 	bool push(std::unique_ptr<Message> _message)
 	{
--- a/src/daemon/entryapp.cpp
+++ b/src/daemon/entryapp.cpp
@@ -16,11 +16,11 @@
 {
 namespace
 {
-constexpr std::chrono::milliseconds kTick{5};
-constexpr Micros kTickSpan = 5 * kMillisecond;
-constexpr std::size_t kBatch = 256; ///< Events between two looks at the clock.
-constexpr std::size_t kPeerBodyBytes = 16u << 20;
-constexpr Micros kLoadPollSpan = 500 * kMillisecond;
+constexpr std::chrono::milliseconds kWaitSpan{5};
+constexpr Micros kTickInterval = 5 * kMillisecond;
+constexpr std::size_t kMaxBatchEvents = 256; ///< Maximum events between two checks of the tick timer.
+constexpr std::size_t kMaxPeerBodyBytes = 16u << 20;
+constexpr Micros kLoadPollInterval = 500 * kMillisecond;
 
 EntrySettings coreSettings(const EntryOptions& _options, const EntryRef& _self)
 {
@@ -55,7 +55,7 @@
 										  {
 											  return HttpAnswer{failureInfo(_failure).status, {}, _detail};
 										  }},
-					   kPeerBodyBytes),
+					   kMaxPeerBodyBytes),
 	  m_peerClient(m_internalLoop,
 				   HttpClientHandlers{[](std::uint64_t, unsigned) {}, [](std::uint64_t, const std::string&) {},
 									  [](std::uint64_t, const HttpAnswer&) {},
@@ -69,15 +69,15 @@
 			 {"state",
 			  [this](const std::string&)
 			  {
-				  return m_queue.ask([](const EntryCore& _core)
-									 { return dumpEntry(_core, monotonicNow()).dump(); });
+				  return m_queue.query([](const EntryCore& _core)
+									   { return dumpEntry(_core, monotonicNow()).dump(); });
 			  }},
 			 {"explain",
 			  [this](const std::string& _id)
 			  {
 				  const RequestId request = readRequestName(_id).second;
-				  return m_queue.ask([request](const EntryCore& _core)
-									 { return explainRequest(_core, request).value_or(Json()).dump(); });
+				  return m_queue.query([request](const EntryCore& _core)
+									   { return explainRequest(_core, request).value_or(Json()).dump(); });
 			  }}}),
 	  m_toCallers(m_callerLoop,
 				  [this](std::vector<std::unique_ptr<Action>>& _batch)
@@ -139,10 +139,10 @@
 
 void EntryApp::linger(Micros _span) const
 {
-	const Micros until = monotonicNow() + _span;
-	while (0 < m_callerServer.connections() && monotonicNow() < until)
+	const Micros deadline = monotonicNow() + _span;
+	while (0 < m_callerServer.connections() && monotonicNow() < deadline)
 	{
-		std::this_thread::sleep_for(kTick);
+		std::this_thread::sleep_for(kWaitSpan);
 	}
 }
 
@@ -152,7 +152,7 @@
 	{
 		return;
 	}
-	m_ending = true;
+	m_isShuttingDown = true;
 	m_queue.wake();
 	m_coreThread.join();
 	m_callerLoop.shutdown();
@@ -174,21 +174,21 @@
 {
 	Micros nextTick = 0;
 	Actions actions;
-	while (!m_ending)
+	while (!m_isShuttingDown)
 	{
-		const std::size_t taken =
-			m_queue.drain(m_core, kBatch, [&](Event _event) { handle(std::move(_event), actions); });
+		const std::size_t processed =
+			m_queue.drain(m_core, kMaxBatchEvents, [&](Event _event) { handle(std::move(_event), actions); });
 		const Micros now = monotonicNow();
 		if (now >= nextTick)
 		{
-			nextTick = now + kTickSpan;
+			nextTick = now + kTickInterval;
 			m_core.handle(Tick{}, now, actions);
 			publish();
 		}
 		route(actions);
-		if (0 == taken)
+		if (0 == processed)
 		{
-			m_queue.wait(kTick);
+			m_queue.wait(kWaitSpan);
 		}
 	}
 }
@@ -319,7 +319,8 @@
 		}
 		for (PeerMessage& message : envelope.messages)
 		{
-			m_queue.submit(PeerArrived{envelope.from, std::move(message)}); // A lost one is sent again.
+			// The sender repeats a message that does not fit into the ring.
+			m_queue.submit(PeerArrived{envelope.from, std::move(message)});
 		}
 		return HttpAnswer{204, {}, {}};
 	}
@@ -330,12 +331,12 @@
 	if ("GET" == _request.method && "/debug/state" == _request.target)
 	{
 		const std::string text =
-			m_queue.ask([](const EntryCore& _core) { return dumpEntry(_core, monotonicNow()).dump(2) + "\n"; });
+			m_queue.query([](const EntryCore& _core) { return dumpEntry(_core, monotonicNow()).dump(2) + "\n"; });
 		return HttpAnswer{200, {{"Content-Type", "application/json"}}, text};
 	}
 	if ("GET" == _request.method && "/metrics" == _request.target)
 	{
-		const std::string text = m_queue.ask([](const EntryCore& _core) { return formatEntryMetrics(_core); });
+		const std::string text = m_queue.query([](const EntryCore& _core) { return formatEntryMetrics(_core); });
 		return HttpAnswer{200, {{"Content-Type", "text/plain; version=0.0.4"}}, text};
 	}
 	throw Error(Failure::UnknownService, "nothing is served at " + _request.target);
@@ -374,7 +375,7 @@
 	}
 	m_backendAdapter.retrySubmits();
 	m_backendAdapter.pollLoad(targets);
-	m_backendLoop.after(kLoadPollSpan, [this] { pollLoad(); });
+	m_backendLoop.after(kLoadPollInterval, [this] { pollLoad(); });
 }
 
 } // namespace beacongate
--- a/src/daemon/entryapp.h
+++ b/src/daemon/entryapp.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The entry daemon: a thread each for callers, decisions, backend servers and the inside.
+/// The entry daemon. It has one thread each for callers, decisions (the core), backend servers and internal
+/// traffic.
 
 #ifndef BEACONGATE_DAEMON_ENTRYAPP_H
 #define BEACONGATE_DAEMON_ENTRYAPP_H
@@ -25,15 +26,15 @@
 
 namespace beacongate
 {
-/// Settings of an entry, checked.
+/// Validated settings of an entry.
 struct EntryOptions
 {
 	std::string id;
 	std::string dataCentre;
-	Address listen;   ///< For callers.
-	Address internal; ///< For control, other entries, operators and scrapers.
-	Micros stopGrace = 2 * kSecond;
-	Micros stopNotice = 30 * kSecond;
+	Address listen;                   ///< For callers.
+	Address internal;                 ///< For the control process, other entries, operators and metric scrapers.
+	Micros stopGrace = 2 * kSecond;   ///< For which requests are still accepted after a stop was requested.
+	Micros stopNotice = 30 * kSecond; ///< After which a planned stop ends at the latest.
 	std::uint64_t seed = 1;
 };
 
@@ -50,20 +51,23 @@
 	/// @throws Error SettingInvalid where an address cannot be bound.
 	void init();
 
-	/// Begins a planned stop; may be called from any thread.
+	/// Starts a planned stop; may be called from any thread.
 	void requestStop();
 
-	/// @returns whether a planned stop has ended.
+	/// @returns true if a planned stop has completed.
 	bool stopped() const;
 
-	/// Waits until callers have their last bytes, at most for a span.
+	/// Waits until the connections of callers are closed, so that they receive their last bytes.
+	/// @param[in] _span Maximum wait.
 	void linger(Micros _span) const;
 
-	/// Ends the threads.
+	/// Stops the threads.
 	void shutdown();
 
-	/// @returns the ports in use, also where 0 was asked for.
+	/// @returns the bound port for callers, also where the settings give port 0.
 	std::uint16_t callerPort() const;
+
+	/// @returns the bound port for internal traffic, also where the settings give port 0.
 	std::uint16_t internalPort() const;
 
 private:
@@ -80,7 +84,7 @@
 
 	EntryOptions m_options;
 	EntryRef m_self;
-	EntryCore m_core; ///< Of the core thread alone.
+	EntryCore m_core; ///< Used by the core thread only.
 	CoreQueue<EntryCore, Event> m_queue;
 	CallerAdapter::EntryStatus m_entryStatus;
 
@@ -99,10 +103,10 @@
 	LoopInbox<Action> m_toBackends;
 	LoopInbox<Action> m_toPeers;
 	std::thread m_coreThread;
-	std::atomic<bool> m_ending = false;
+	std::atomic<bool> m_isShuttingDown = false;
 	std::atomic<bool> m_stopped = false;
 
-	mutable std::mutex m_reportMutex; ///< Guards what other threads read of the core.
+	mutable std::mutex m_reportMutex; ///< Guards m_report and m_loadTargets, which other threads read.
 	std::string m_report;
 	std::vector<std::pair<std::string, Address>> m_loadTargets;
 };
--- a/src/daemon/logging.cpp
+++ b/src/daemon/logging.cpp
@@ -13,8 +13,8 @@
 {
 void appendValue(std::string& _line, const std::string& _value)
 {
-	const bool plain = !_value.empty() && std::string::npos == _value.find_first_of(" \"=\n\t");
-	if (plain)
+	const bool isUnquoted = !_value.empty() && std::string::npos == _value.find_first_of(" \"=\n\t");
+	if (isUnquoted)
 	{
 		_line += _value;
 		return;
--- a/src/daemon/logging.h
+++ b/src/daemon/logging.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Structured log lines: one event a line, as key=value.
+/// Structured logging: each line is one event with key=value fields.
 
 #ifndef BEACONGATE_DAEMON_LOGGING_H
 #define BEACONGATE_DAEMON_LOGGING_H
@@ -17,7 +17,7 @@
 
 namespace beacongate
 {
-/// How much an event matters.
+/// Severity of an event.
 enum class LogLevel
 {
 	Info,
@@ -29,29 +29,30 @@
 using LogField = std::pair<std::string_view, std::string>;
 
 /// Starts logging to standard error.
-/// @param[in] _program Name of the program, for the log's lines.
+/// @param[in] _program Name of the program.
 void initLogging(const char* _program);
 
-/// Starts logging to standard output without ever waiting for its reader: lines that do not fit a bounded
-/// buffer are left out, and a line says how many.
+/// Starts logging to standard output without blocking on its reader. Lines that do not fit into a bounded buffer
+/// are dropped, and a later line gives their number.
 void initStdoutLogging(const char* _program);
 
-/// Writes what is buffered, as far as the reader takes it.
+/// Writes buffered lines as far as standard output accepts them without blocking.
 void flushStdoutLogging();
 
-/// @returns lines that did not reach standard output.
+/// @returns the number of lines that were dropped instead of written to standard output.
 std::uint64_t droppedLogLines();
 
-/// Writes one line: event=NAME key=value ...; values with spaces are quoted.
+/// Writes one line: event=NAME key=value ...; values that are empty or contain white space, quotes or '=' are
+/// quoted.
 void logEvent(LogLevel _level, std::string_view _event, std::initializer_list<LogField> _fields);
 
-/// @returns a span in whole milliseconds, as a field's value.
+/// @returns a span in whole milliseconds, as the value of a field.
 inline std::string millisText(Micros _span)
 {
 	return std::to_string(_span / kMillisecond);
 }
 
-/// @returns the line that logEvent() writes, without the logger's own prefix.
+/// @returns the line that logEvent() writes, without the logger's prefix.
 std::string formatEvent(std::string_view _event, std::initializer_list<LogField> _fields);
 
 } // namespace beacongate
--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -17,7 +17,7 @@
 {
 constexpr const char* kVersion = "beacongate 0.1.0";
 
-/// Turns "IP:port" into an Address while the flags are read.
+/// Adds an option that is parsed as "IP:port".
 CLI::Option* addAddress(CLI::App& _app, const std::string& _flag, Address& _address, const std::string& _help)
 {
 	const CLI::callback_t read = [&_address, _flag](const CLI::results_t& _values)
@@ -35,6 +35,7 @@
 	return _app.add_option(_flag, read, _help)->type_name("IP:PORT");
 }
 
+/// Adds an option that is parsed as a number of milliseconds.
 CLI::Option* addMillis(CLI::App& _app, const std::string& _flag, Micros& _span, const std::string& _help)
 {
 	const CLI::callback_t read = [&_span, _flag](const CLI::results_t& _values)
@@ -50,9 +51,9 @@
 	return _app.add_option(_flag, read, _help)->type_name("MILLISECONDS");
 }
 
-int parse(CLI::App& _app, int _argc, const char* const* _argv, bool& _ended)
+int parse(CLI::App& _app, int _argc, const char* const* _argv, bool& _shouldExit)
 {
-	_ended = false;
+	_shouldExit = false;
 	try
 	{
 		_app.parse(_argc, _argv);
@@ -60,12 +61,12 @@
 	}
 	catch (const CLI::Success& success)
 	{
-		_ended = true;
+		_shouldExit = true;
 		return _app.exit(success);
 	}
 	catch (const CLI::ParseError& error)
 	{
-		_ended = true;
+		_shouldExit = true;
 		std::cerr << _app.get_name() << ": " << error.what() << '\n';
 		return kExitSettings;
 	}
@@ -73,18 +74,18 @@
 
 void requireName(const std::string& _flag, const std::string& _value)
 {
-	const auto plain = [](char _c)
+	const auto isNameChar = [](char _c)
 	{
 		return std::isalnum(static_cast<unsigned char>(_c)) || '-' == _c || '_' == _c || '.' == _c;
 	};
-	if (_value.empty() || _value.size() > 64 || !std::all_of(_value.begin(), _value.end(), plain))
+	if (_value.empty() || _value.size() > 64 || !std::all_of(_value.begin(), _value.end(), isNameChar))
 	{
 		throw Error(Failure::SettingInvalid, _flag + ": has to be 1 to 64 letters, digits, '-', '_' or '.'");
 	}
 }
 
-/// Prints a contradiction between settings as one line.
-template <typename Check> int checkTogether(const CLI::App& _app, bool& _ended, Check _check)
+/// Runs a check of settings and prints its error as one line.
+template <typename Check> int validate(const CLI::App& _app, bool& _shouldExit, Check _check)
 {
 	try
 	{
@@ -93,14 +94,14 @@
 	}
 	catch (const Error& error)
 	{
-		_ended = true;
+		_shouldExit = true;
 		std::cerr << _app.get_name() << ": " << error.what() << '\n';
 		return kExitSettings;
 	}
 }
 } // namespace
 
-int readEntryOptions(int _argc, const char* const* _argv, EntryOptions& _options, bool& _ended)
+int readEntryOptions(int _argc, const char* const* _argv, EntryOptions& _options, bool& _shouldExit)
 {
 	CLI::App app("Takes callers' requests and sends them to backend servers.", "beacongate-entry");
 	app.set_version_flag("--version", kVersion);
@@ -119,29 +120,29 @@
 	addMillis(app, "--stop-notice-ms", _options.stopNotice, "When a stop ends at the latest [30000]")
 		->envname("BEACONGATE_STOP_NOTICE_MS");
 	app.add_option("--seed", _options.seed, "Seed of the random generator [1]")->envname("BEACONGATE_SEED");
-	const int code = parse(app, _argc, _argv, _ended);
-	if (_ended)
+	const int code = parse(app, _argc, _argv, _shouldExit);
+	if (_shouldExit)
 	{
 		return code;
 	}
-	return checkTogether(
-		app, _ended,
-		[&]
-		{
-			requireName("--id", _options.id);
-			requireName("--data-centre", _options.dataCentre);
-			if (_options.stopGrace > _options.stopNotice)
-			{
-				throw Error(Failure::SettingInvalid, "--stop-grace-ms: is larger than --stop-notice-ms");
-			}
-			if (_options.listen == _options.internal && 0 != _options.listen.port)
-			{
-				throw Error(Failure::SettingInvalid, "--internal: is the same address as --listen");
-			}
-		});
+	return validate(app, _shouldExit,
+					[&]
+					{
+						requireName("--id", _options.id);
+						requireName("--data-centre", _options.dataCentre);
+						if (_options.stopGrace > _options.stopNotice)
+						{
+							throw Error(Failure::SettingInvalid,
+										"--stop-grace-ms: is larger than --stop-notice-ms");
+						}
+						if (_options.listen == _options.internal && 0 != _options.listen.port)
+						{
+							throw Error(Failure::SettingInvalid, "--internal: is the same address as --listen");
+						}
+					});
 }
 
-int readControlOptions(int _argc, const char* const* _argv, ControlOptions& _options, bool& _ended)
+int readControlOptions(int _argc, const char* const* _argv, ControlOptions& _options, bool& _shouldExit)
 {
 	CLI::App app("Brings configuration, roster and VM list to the entry beside it.", "beacongate-control");
 	app.set_version_flag("--version", kVersion);
@@ -169,34 +170,34 @@
 		->type_name("IP:PORT")
 		->envname("BEACONGATE_PEERS");
 	app.add_option("--seed", core.seed, "Seed of the random generator [1]")->envname("BEACONGATE_SEED");
-	const int code = parse(app, _argc, _argv, _ended);
-	if (_ended)
+	const int code = parse(app, _argc, _argv, _shouldExit);
+	if (_shouldExit)
 	{
 		return code;
 	}
-	return checkTogether(app, _ended,
-						 [&]
-						 {
-							 requireName("--id", core.id);
-							 requireName("--region", core.region);
-							 requireName("--data-centre", core.dataCentre);
-							 requireName("--vm", core.vm);
-							 for (const std::string& seed : seeds)
-							 {
-								 core.seeds.push_back(readAddress(seed, "--peer", Failure::SettingInvalid));
-							 }
-							 if (_options.listen == _options.entry)
-							 {
-								 throw Error(Failure::SettingInvalid, "--entry: is the same address as --listen");
-							 }
-							 if (list->count() > 0)
-							 {
-								 _options.vmList = vmList;
-							 }
-							 core.hasVmList = _options.vmList.has_value();
-							 core.peerAddress = _options.entry;
-							 core.controlAddress = _options.listen;
-						 });
+	return validate(app, _shouldExit,
+					[&]
+					{
+						requireName("--id", core.id);
+						requireName("--region", core.region);
+						requireName("--data-centre", core.dataCentre);
+						requireName("--vm", core.vm);
+						for (const std::string& seed : seeds)
+						{
+							core.seeds.push_back(readAddress(seed, "--peer", Failure::SettingInvalid));
+						}
+						if (_options.listen == _options.entry)
+						{
+							throw Error(Failure::SettingInvalid, "--entry: is the same address as --listen");
+						}
+						if (list->count() > 0)
+						{
+							_options.vmList = vmList;
+						}
+						core.hasVmList = _options.vmList.has_value();
+						core.peerAddress = _options.entry;
+						core.controlAddress = _options.listen;
+					});
 }
 
 void blockStopSignals()
--- a/src/daemon/stdoutsink.cpp
+++ b/src/daemon/stdoutsink.cpp
@@ -13,7 +13,7 @@
 {
 namespace
 {
-constexpr std::size_t kPendingBytes = 256u << 10;
+constexpr std::size_t kMaxPendingBytes = 256u << 10;
 
 char severityLetter(google::LogSeverity _severity)
 {
@@ -39,16 +39,16 @@
 					  int /*line*/, const google::LogMessageTime& _time, const char* _message, std::size_t _length)
 {
 	const std::lock_guard<std::mutex> guard(m_mutex);
-	if (m_pending.size() + _length > kPendingBytes)
+	if (m_pending.size() + _length > kMaxPendingBytes)
 	{
 		++m_dropped;
 		writePending();
 		return;
 	}
-	if (m_dropped != m_droppedTold)
+	if (m_dropped != m_droppedReported)
 	{
 		m_pending += "W event=log-lines-left-out total=" + std::to_string(m_dropped) + "\n";
-		m_droppedTold = m_dropped;
+		m_droppedReported = m_dropped;
 	}
 	m_pending += severityLetter(_severity);
 	m_pending += ' ';
@@ -68,7 +68,7 @@
 		{
 			return;
 		}
-		// A pipe that is writable takes this much without blocking.
+		// A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
 		const std::size_t size = std::min<std::size_t>(m_pending.size(), PIPE_BUF);
 		const ssize_t written = write(m_descriptor, m_pending.data(), size);
 		if (written <= 0)
--- a/src/daemon/stdoutsink.h
+++ b/src/daemon/stdoutsink.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A log sink that writes to standard output and never waits for the reader.
+/// A log sink that writes to standard output without blocking on its reader.
 
 #ifndef BEACONGATE_DAEMON_STDOUTSINK_H
 #define BEACONGATE_DAEMON_STDOUTSINK_H
@@ -15,14 +15,15 @@
 
 namespace beacongate
 {
-/// Buffers lines up to a bound; what does not fit is counted and left out.
+/// Buffers lines up to a limit; lines that do not fit are dropped and counted.
 class StdoutSink : public google::LogSink
 {
 public:
-	/// @returns the process's sink.
+	/// @returns the sink of this process.
 	static StdoutSink& instance();
 
-	/// @param[in] descriptor Where lines go; not changed to non-blocking, since others may share it.
+	/// @param[in] _descriptor File descriptor that lines are written to. It stays in its blocking mode, since other
+	/// processes may share it.
 	explicit StdoutSink(int _descriptor) : m_descriptor(_descriptor)
 	{
 	}
@@ -30,10 +31,10 @@
 	void send(google::LogSeverity _severity, const char* _fullFilename, const char* _baseFilename, int _line,
 			  const google::LogMessageTime& _time, const char* _message, std::size_t _length) override;
 
-	/// Writes what the reader takes now.
+	/// Writes buffered lines as far as the descriptor accepts them without blocking.
 	void flush();
 
-	/// @returns lines that were left out so far.
+	/// @returns the number of lines dropped so far.
 	std::uint64_t dropped() const;
 
 private:
@@ -43,7 +44,7 @@
 	mutable std::mutex m_mutex;
 	std::string m_pending;
 	std::uint64_t m_dropped = 0;
-	std::uint64_t m_droppedTold = 0;
+	std::uint64_t m_droppedReported = 0;
 };
 
 } // namespace beacongate
