--- a/src/protocol/gossipcodec.cpp
+++ b/src/protocol/gossipcodec.cpp
@@ -11,28 +11,29 @@
 {
 namespace
 {
-/// Format of what is sent. Gateways of two builds run beside each other while VMs are replaced, and builds that are
-/// in service read this number with exactly its fields alone: docs/DESIGN.md tells how something is added.
+/// Format of the datagrams that are sent. Gateways of two builds run side by side while VMs are replaced, and
+/// builds in service accept this number only with exactly its fields: docs/DESIGN.md says how a field is added.
 constexpr std::uint64_t kFormat = 7;
-/// Oldest format that is read.
+/// Oldest format that is accepted.
 constexpr std::uint64_t kOldestFormat = 6;
-constexpr std::size_t kFieldsOf6 = 26; ///< Format 7 added levels.
-constexpr std::size_t kFieldsOf7 = 27;
+constexpr std::size_t kFormat6FieldCount = 26; ///< Format 7 added the quota levels.
+constexpr std::size_t kFormat7FieldCount = 27;
 
-/// @returns whether fields are those of a format that is read. A later one may have more at its end, which are
-/// ignored; they tell nothing that this build has to know.
-bool isReadable(const Json& _fields)
+/// A later format may have more fields at its end. They are ignored; this build does not depend on them.
+/// @returns true if the fields have the number and count of a supported format.
+bool isSupportedFormat(const Json& _fields)
 {
-	if (!_fields.is_array() || _fields.size() < kFieldsOf6 || !_fields[0].is_number_unsigned())
+	if (!_fields.is_array() || _fields.size() < kFormat6FieldCount || !_fields[0].is_number_unsigned())
 	{
 		return false;
 	}
 	const auto format = _fields[0].get<std::uint64_t>();
 	if (format <= kFormat)
 	{
-		return format >= kOldestFormat && _fields.size() == (format == kOldestFormat ? kFieldsOf6 : kFieldsOf7);
+		return format >= kOldestFormat &&
+			   _fields.size() == (format == kOldestFormat ? kFormat6FieldCount : kFormat7FieldCount);
 	}
-	return _fields.size() >= kFieldsOf7;
+	return _fields.size() >= kFormat7FieldCount;
 }
 
 Json encodeQuotas(const std::vector<QuotaReport>& _quotas)
@@ -65,16 +66,17 @@
 	return levels;
 }
 
-/// A load takes seven bytes: the server's key, the requests and the prompt tokens. As lists with ids, the loads of
-/// 204 engines were 3.9 kB and would not fit into two packets.
+/// Encoded size of a load in bytes: 4 for the backend server's key, 1 for its requests, 2 for its prompt tokens. As
+/// lists with ids, the loads of 204 engines took 3.9 kB, which does not fit into two packets.
 constexpr std::size_t kLoadBytes = 7;
-constexpr unsigned kMostInFlight = 0xFF;
+constexpr unsigned kMaxInFlight = 0xFF;
+/// Pending prompt tokens are encoded in units of this many tokens.
 constexpr std::uint64_t kTokenUnit = 16;
-constexpr std::uint64_t kMostTokenUnits = 0xFFFF;
-/// Loads in one message at most; the others count as idle.
-constexpr std::size_t kMostLoads = 512;
+constexpr std::uint64_t kMaxTokenUnits = 0xFFFF;
+/// Maximum number of loads in one message; receivers count the other backend servers as idle.
+constexpr std::size_t kMaxLoads = 512;
 
-void appendBytes(std::string& _bytes, std::uint64_t _value, std::size_t _count)
+void appendLittleEndian(std::string& _bytes, std::uint64_t _value, std::size_t _count)
 {
 	for (std::size_t index = 0; index < _count; ++index)
 	{
@@ -82,7 +84,7 @@
 	}
 }
 
-std::uint64_t readBytes(std::string_view _bytes)
+std::uint64_t readLittleEndian(std::string_view _bytes)
 {
 	std::uint64_t value = 0;
 	for (std::size_t index = _bytes.size(); index-- > 0;)
@@ -97,13 +99,13 @@
 	std::string bytes;
 	for (const BackendLoad& load : _loads)
 	{
-		if (bytes.size() == kMostLoads * kLoadBytes)
+		if (bytes.size() == kMaxLoads * kLoadBytes)
 		{
 			break;
 		}
-		appendBytes(bytes, load.key.value, 4);
-		appendBytes(bytes, std::min(load.inFlight, kMostInFlight), 1);
-		appendBytes(bytes, std::min(load.pendingTokens / kTokenUnit, kMostTokenUnits), 2);
+		appendLittleEndian(bytes, load.key.value, 4);
+		appendLittleEndian(bytes, std::min(load.inFlight, kMaxInFlight), 1);
+		appendLittleEndian(bytes, std::min(load.pendingTokens / kTokenUnit, kMaxTokenUnits), 2);
 	}
 	return bytes;
 }
@@ -114,9 +116,9 @@
 	for (; _bytes.size() >= kLoadBytes; _bytes.remove_prefix(kLoadBytes))
 	{
 		BackendLoad load;
-		load.key.value = static_cast<std::uint32_t>(readBytes(_bytes.substr(0, 4)));
-		load.inFlight = static_cast<unsigned>(readBytes(_bytes.substr(4, 1)));
-		load.pendingTokens = readBytes(_bytes.substr(5, 2)) * kTokenUnit;
+		load.key.value = static_cast<std::uint32_t>(readLittleEndian(_bytes.substr(0, 4)));
+		load.inFlight = static_cast<unsigned>(readLittleEndian(_bytes.substr(4, 1)));
+		load.pendingTokens = readLittleEndian(_bytes.substr(5, 2)) * kTokenUnit;
 		loads.push_back(load);
 	}
 	return loads;
@@ -132,7 +134,7 @@
 	return list;
 }
 
-Json encodeCentreUsage(const RunCounts& _usage)
+Json encodeDataCentreUsage(const RunCounts& _usage)
 {
 	Json list = Json::array();
 	for (const auto& [run, count] : _usage)
@@ -142,7 +144,7 @@
 	return list;
 }
 
-RunCounts decodeCentreUsage(const Json& _list)
+RunCounts decodeDataCentreUsage(const Json& _list)
 {
 	RunCounts usage;
 	for (const Json& entry : _list)
@@ -184,7 +186,7 @@
 	return backends;
 }
 
-void decodeLists(const Json& _quotas, const Json& _usage, GossipMessage& _message)
+void decodeQuotasAndUsage(const Json& _quotas, const Json& _usage, GossipMessage& _message)
 {
 	for (const Json& quota : _quotas)
 	{
@@ -225,7 +227,7 @@
 									 _message.whole,
 									 _message.wantsSums,
 									 _message.gateways,
-									 encodeCentreUsage(_message.centreUsage),
+									 encodeDataCentreUsage(_message.centreUsage),
 									 encodeLevels(_message.levels)});
 	std::string bytes;
 	Json::to_msgpack(fields, bytes);
@@ -235,7 +237,7 @@
 std::optional<GossipMessage> decodeGossip(std::string_view _bytes)
 {
 	const Json fields = Json::from_msgpack(_bytes.begin(), _bytes.end(), true, false);
-	if (!isReadable(fields))
+	if (!isSupportedFormat(fields))
 	{
 		return std::nullopt;
 	}
@@ -259,7 +261,7 @@
 		message.configAge = fields[10].get<Micros>();
 		message.leaving = fields[11].get<bool>();
 		message.members = fields[12].get<std::vector<std::string>>();
-		decodeLists(fields[13], fields[15], message);
+		decodeQuotasAndUsage(fields[13], fields[15], message);
 		message.loads = decodeLoads(fields[14].get_ref<const std::string&>());
 		for (const Json& report : fields[16])
 		{
@@ -274,9 +276,10 @@
 		message.whole = fields[22].get<bool>();
 		message.wantsSums = fields[23].get<bool>();
 		message.gateways = fields[24].get<std::size_t>();
-		message.centreUsage = decodeCentreUsage(fields[25]);
-		// Without levels, a gateway that starts goes by its own part of each limit.
-		message.levels = fields.size() > kFieldsOf6 ? decodeLevels(fields[kFieldsOf6]) : std::vector<QuotaLevel>();
+		message.centreUsage = decodeDataCentreUsage(fields[25]);
+		// Format 6 has no levels; without them, a gateway that starts enforces its own share of each limit.
+		message.levels = fields.size() > kFormat6FieldCount ? decodeLevels(fields[kFormat6FieldCount])
+															: std::vector<QuotaLevel>();
 		return message;
 	}
 	catch (const Json::exception&)
--- a/src/protocol/gossipcodec.h
+++ b/src/protocol/gossipcodec.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Datagrams between gateways as MessagePack.
+/// MessagePack encoding of the gossip datagrams that gateways send each other.
 
 #ifndef BEACONGATE_PROTOCOL_GOSSIPCODEC_H
 #define BEACONGATE_PROTOCOL_GOSSIPCODEC_H
@@ -15,10 +15,10 @@
 
 namespace beacongate
 {
-/// @returns the datagram's bytes.
+/// @returns the message as a datagram.
 std::string encodeGossip(const GossipMessage& _message);
 
-/// @returns the message, or nothing where the bytes are none.
+/// @returns the message; nullopt where the bytes are not a valid message of a supported format.
 std::optional<GossipMessage> decodeGossip(std::string_view _bytes);
 
 } // namespace beacongate
--- a/src/protocol/quotacodec.cpp
+++ b/src/protocol/quotacodec.cpp
@@ -11,36 +11,39 @@
 {
 namespace
 {
-/// Format number and kind stand where those of all datagrams between gateways do; kinds up to 3 are gossip's.
+/// The format number and the kind are the first two fields, as in all datagrams between gateways. Gossip uses the
+/// kinds up to 3.
 constexpr std::uint64_t kFormat = 7;
-constexpr unsigned kAsk = 4;
-constexpr unsigned kAnswer = 5;
-constexpr unsigned kReturn = 6;
-/// Of a MessagePack list of up to 15 elements, in its first byte.
+constexpr unsigned kGrantRequest = 4;
+constexpr unsigned kGrantAnswer = 5;
+constexpr unsigned kGrantReturn = 6;
+/// Mask and value of the first byte of a MessagePack list of up to 15 elements.
 constexpr unsigned kShortListMask = 0xF0;
-constexpr unsigned kShortList = 0x90;
+constexpr unsigned kShortListPrefix = 0x90;
 
+/// Encodes each type of message as a list of fields.
 struct Encoder
 {
-	Json operator()(const QuotaAsk& _ask) const
+	Json operator()(const QuotaAsk& _request) const
 	{
-		return Json::array({kFormat, kAsk, _ask.id, _ask.team, _ask.amount});
+		return Json::array({kFormat, kGrantRequest, _request.id, _request.team, _request.amount});
 	}
 
 	Json operator()(const QuotaAnswer& _answer) const
 	{
-		return Json::array({kFormat, kAnswer, _answer.id, static_cast<unsigned>(_answer.outcome), _answer.wait,
+		return Json::array({kFormat, kGrantAnswer, _answer.id, static_cast<unsigned>(_answer.outcome), _answer.wait,
 							_answer.hold, _answer.team, _answer.amount});
 	}
 
 	Json operator()(const QuotaReturn& _return) const
 	{
-		return Json::array({kFormat, kReturn, _return.team, _return.amount});
+		return Json::array({kFormat, kGrantReturn, _return.team, _return.amount});
 	}
 };
 
-/// @throws Json::exception where it is no amount.
-double amountOf(const Json& _field)
+/// @returns a finite amount that is not negative.
+/// @throws Json::exception where the field is not such a number.
+double decodeAmount(const Json& _field)
 {
 	const double amount = _field.get<double>();
 	if (!std::isfinite(amount) || amount < 0.0)
@@ -50,8 +53,8 @@
 	return amount;
 }
 
-/// @throws Json::exception where it is none.
-GrantOutcome outcomeOf(const Json& _field)
+/// @throws Json::exception where the field is not the number of an outcome.
+GrantOutcome decodeOutcome(const Json& _field)
 {
 	const auto outcome = _field.get<unsigned>();
 	if (outcome > static_cast<unsigned>(GrantOutcome::Unable))
@@ -61,20 +64,21 @@
 	return static_cast<GrantOutcome>(outcome);
 }
 
-/// @throws Json::exception where a field is missing or of another type.
-std::optional<QuotaMessage> messageOf(const Json& _fields)
+/// @returns the message; nullopt where the kind is unknown.
+/// @throws Json::exception where a field is missing or has the wrong type.
+std::optional<QuotaMessage> decodeFields(const Json& _fields)
 {
 	switch (_fields.at(1).get<unsigned>())
 	{
-	case kAsk:
+	case kGrantRequest:
 		return QuotaAsk{_fields.at(2).get<std::uint64_t>(), _fields.at(3).get<std::string>(),
-						amountOf(_fields.at(4))};
-	case kAnswer:
-		return QuotaAnswer{_fields.at(2).get<std::uint64_t>(), outcomeOf(_fields.at(3)),
+						decodeAmount(_fields.at(4))};
+	case kGrantAnswer:
+		return QuotaAnswer{_fields.at(2).get<std::uint64_t>(), decodeOutcome(_fields.at(3)),
 						   _fields.at(4).get<Micros>(),        _fields.at(5).get<Micros>(),
-						   _fields.at(6).get<std::string>(),   amountOf(_fields.at(7))};
-	case kReturn:
-		return QuotaReturn{_fields.at(2).get<std::string>(), amountOf(_fields.at(3))};
+						   _fields.at(6).get<std::string>(),   decodeAmount(_fields.at(7))};
+	case kGrantReturn:
+		return QuotaReturn{_fields.at(2).get<std::string>(), decodeAmount(_fields.at(3))};
 	default:
 		return std::nullopt;
 	}
@@ -90,7 +94,7 @@
 
 bool isQuotaDatagram(std::string_view _bytes)
 {
-	return !_bytes.empty() && (static_cast<unsigned char>(_bytes.front()) & kShortListMask) == kShortList;
+	return !_bytes.empty() && (static_cast<unsigned char>(_bytes.front()) & kShortListMask) == kShortListPrefix;
 }
 
 std::optional<QuotaMessage> decodeQuota(std::string_view _bytes)
@@ -103,7 +107,7 @@
 		{
 			return std::nullopt;
 		}
-		return messageOf(fields);
+		return decodeFields(fields);
 	}
 	catch (const Json::exception&)
 	{
--- a/src/protocol/quotacodec.h
+++ b/src/protocol/quotacodec.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Asks and answers about quotas as datagrams of MessagePack: docs/DESIGN.md, "Gateways of two builds".
+/// MessagePack encoding of the datagrams about quota grants: docs/DESIGN.md, "Gateways of two builds".
 
 #ifndef BEACONGATE_PROTOCOL_QUOTACODEC_H
 #define BEACONGATE_PROTOCOL_QUOTACODEC_H
@@ -15,13 +15,14 @@
 
 namespace beacongate
 {
-/// @returns the datagram's bytes.
+/// @returns the message as a datagram.
 std::string encodeQuota(const QuotaMessage& _message);
 
-/// @returns whether a datagram is short enough to be one of these; those that decodeGossip() reads never are.
+/// @returns true if the datagram is a list that is short enough for a message about quota grants; gossip datagrams
+/// have more fields.
 bool isQuotaDatagram(std::string_view _bytes);
 
-/// @returns the message, or nothing where the bytes are none.
+/// @returns the message; nullopt where the bytes are not a valid message about quota grants.
 std::optional<QuotaMessage> decodeQuota(std::string_view _bytes);
 
 } // namespace beacongate
