--- a/tests/buildstest.cpp
+++ b/tests/buildstest.cpp
@@ -2,13 +2,11 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Gateways of two builds beside each other, as they stand while VMs are replaced one after the other.
+/// Gossip between gateways of two builds, which run side by side while VMs are replaced one after the other.
 ///
-/// What was seen: half of the gateways ran a build whose datagrams differed in nothing but their format number, and
-/// teams ran more than their limits on three of three seeds of a soak, on none with one number.
-///
-/// Cause: a datagram was taken only with exactly the reader's own format number and number of fields, so that each
-/// half of the fleet was silence to the other.
+/// Guards against a decoder that accepts only its own format number and number of fields. With half of the gateways
+/// on a build whose datagrams differed only in the format number, neither half received the gossip of the other,
+/// and teams exceeded their limits on three of three seeds of a soak; with a single format number they did on none.
 
 #include "golden.h"
 #include "protocol/gossipcodec.h"
@@ -23,7 +21,7 @@
 {
 namespace
 {
-constexpr std::size_t kFieldsOf7 = 27;
+constexpr std::size_t kFormat7FieldCount = 27;
 
 Json fieldsOf(const std::string& _bytes)
 {
@@ -37,8 +35,8 @@
 	return bytes;
 }
 
-/// Expects all that the golden datagrams tell.
-void expectAll(const std::optional<GossipMessage>& _message)
+/// Checks all fields that the golden datagrams of formats 6 and 7 have in common.
+void expectGoldenContent(const std::optional<GossipMessage>& _message)
 {
 	ASSERT_TRUE(_message);
 	EXPECT_EQ(_message->kind, GossipKind::FleetSums);
@@ -74,45 +72,45 @@
 }
 } // namespace
 
-TEST(Builds, aDatagramOfFormat6IsReadInFull)
+TEST(GossipCompatibility, decodesAllFieldsOfFormat6)
 {
 	const auto message = decodeGossip(golden("gossip-6"));
-	expectAll(message);
+	expectGoldenContent(message);
 	ASSERT_TRUE(message);
-	EXPECT_TRUE(message->levels.empty()); // It knows none: a gateway that starts goes by its own part.
+	EXPECT_TRUE(message->levels.empty()); // Format 6 has no levels: a gateway that starts enforces its own share.
 }
 
-TEST(Builds, aDatagramOfFormat7IsReadInFull)
+TEST(GossipCompatibility, decodesAllFieldsOfFormat7)
 {
 	const auto message = decodeGossip(golden("gossip-7"));
-	expectAll(message);
+	expectGoldenContent(message);
 	ASSERT_TRUE(message);
 	ASSERT_EQ(message->levels.size(), 1u);
 	EXPECT_EQ(message->levels[0].left, 17.5);
 }
 
-TEST(Builds, whatIsSentIsWhatTheBuildBeforeReads)
+TEST(GossipCompatibility, encodesTheFormatThatThePreviousBuildAccepts)
 {
-	// It takes a datagram only with its own number and as many fields as it knows.
+	// The previous build accepts only format 7 with exactly its fields.
 	const auto message = decodeGossip(golden("gossip-7"));
 	ASSERT_TRUE(message);
 	EXPECT_EQ(encodeGossip(*message), golden("gossip-7"));
-	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage())).size(), kFieldsOf7);
+	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage())).size(), kFormat7FieldCount);
 	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage()))[0], 7);
 }
 
-TEST(Builds, aLaterFormatWithFieldsThatAreNotKnownIsReadAsFarAsItIsKnown)
+TEST(GossipCompatibility, decodesTheKnownFieldsOfALaterFormat)
 {
 	Json fields = fieldsOf(golden("gossip-7"));
 	fields[0] = 8;
-	expectAll(decodeGossip(bytesOf(fields)));
+	expectGoldenContent(decodeGossip(bytesOf(fields)));
 	fields.push_back("news");
 	fields.push_back(Json::array({1, Json::array({2, nullptr})}));
 	fields[0] = 9;
-	expectAll(decodeGossip(bytesOf(fields)));
+	expectGoldenContent(decodeGossip(bytesOf(fields)));
 }
 
-TEST(Builds, whatIsNoFormatThatIsReadIsRefused)
+TEST(GossipCompatibility, rejectsUnsupportedFormatsAndUnknownKinds)
 {
 	Json fields = fieldsOf(golden("gossip-7"));
 	for (const Json& format : {Json(5), Json(0), Json(-1), Json("7"), Json(7.5), Json(nullptr), Json(1e300)})
@@ -121,11 +119,11 @@
 		EXPECT_FALSE(decodeGossip(bytesOf(fields))) << format;
 	}
 	fields[0] = 7;
-	fields[1] = 200; // A kind of a later build: not for this one.
+	fields[1] = 200; // A message kind that only a later build has.
 	EXPECT_FALSE(decodeGossip(bytesOf(fields)));
 }
 
-TEST(Builds, aDatagramWithoutAFieldOfItsFormatIsRefused)
+TEST(GossipCompatibility, rejectsADatagramWithAMissingField)
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
@@ -135,7 +133,7 @@
 	}
 }
 
-TEST(Builds, aDatagramThatIsNestedAsDeepAsItsBytesAllowIsRefused)
+TEST(GossipCompatibility, rejectsADeeplyNestedDatagram)
 {
 	for (const char byte : {'\x91', '\x81'})
 	{
@@ -143,30 +141,31 @@
 	}
 }
 
-RC_GTEST_PROP(Builds, noBytesAreTakenForAMessageByHalves,
-			  (std::uint16_t place, std::uint8_t byte, std::uint8_t cut))
+RC_GTEST_PROP(GossipCompatibility, rejectsTruncatedDatagramsAndTrailingBytes,
+			  (std::uint16_t position, std::uint8_t byte, std::uint8_t cutLength))
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
 		const std::string whole = golden(name);
 		std::string changed = whole;
-		changed[place % changed.size()] = static_cast<char>(byte);
+		changed[position % changed.size()] = static_cast<char>(byte);
 		decodeGossip(changed);
 		decodeGossip(whole + changed);
 		RC_ASSERT(!decodeGossip(whole + static_cast<char>(byte)));
-		RC_ASSERT(!decodeGossip(whole.substr(0, cut % whole.size())));
+		RC_ASSERT(!decodeGossip(whole.substr(0, cutLength % whole.size())));
 	}
 }
 
-RC_GTEST_PROP(Builds, fieldsThatAreSwappedNeverGiveAMessageByHalves, (std::uint8_t one, std::uint8_t other))
+RC_GTEST_PROP(GossipCompatibility, encodesAgainWhatItDecodedFromSwappedFields,
+			  (std::uint8_t firstIndex, std::uint8_t secondIndex))
 {
 	Json fields = fieldsOf(golden("gossip-7"));
-	std::swap(fields[one % fields.size()], fields[other % fields.size()]);
+	std::swap(fields[firstIndex % fields.size()], fields[secondIndex % fields.size()]);
 	const auto message = decodeGossip(bytesOf(fields));
 	if (message)
 	{
-		const std::string told = encodeGossip(*message);
-		RC_ASSERT(encodeGossip(*decodeGossip(told)) == told);
+		const std::string encoded = encodeGossip(*message);
+		RC_ASSERT(encodeGossip(*decodeGossip(encoded)) == encoded);
 	}
 }
 
--- a/tests/compressiontest.cpp
+++ b/tests/compressiontest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What gateways send each other of the store's content, where there are thousands of backend servers.
+/// Size and caching of the store content that gateways send each other, with thousands of backend servers.
 
 #include "protocol/compression.h"
 #include "gateway/bodycache.h"
@@ -19,7 +19,7 @@
 namespace
 {
 constexpr unsigned kBackends = 3000;
-constexpr std::size_t kMost = 1u << 20;
+constexpr std::size_t kMaxBytes = 1u << 20;
 
 ContentUpdate changedBackends()
 {
@@ -37,40 +37,41 @@
 }
 } // namespace
 
-RC_GTEST_PROP(Compression, whatGoesInComesOut, (const std::string& bytes))
+RC_GTEST_PROP(Compression, roundTripsAnyBytes, (const std::string& bytes))
 {
-	RC_ASSERT(decompress(compress(bytes), kMost) == bytes);
+	RC_ASSERT(decompress(compress(bytes), kMaxBytes) == bytes);
 }
 
-RC_GTEST_PROP(Compression, otherBytesAreRefusedOrBounded, (const std::string& bytes))
+RC_GTEST_PROP(Compression, rejectsOrBoundsArbitraryBytes, (const std::string& bytes))
 {
-	const auto made = decompress(bytes, 100);
-	RC_ASSERT(!made || made->size() <= 100);
+	const auto content = decompress(bytes, 100);
+	RC_ASSERT(!content || content->size() <= 100);
 }
 
-TEST(Compression, whatWouldGrowTooLargeOrIsCutIsRefused)
+TEST(Compression, rejectsOversizedAndTruncatedData)
 {
-	const std::string packed = compress(std::string(kMost + 1, 'x'));
-	EXPECT_FALSE(decompress(packed, kMost));
-	EXPECT_TRUE(decompress(packed, kMost + 1));
-	EXPECT_FALSE(decompress(packed.substr(0, packed.size() - 1), 2 * kMost));
-	EXPECT_FALSE(decompress(packed + 'x', 2 * kMost));
+	const std::string compressed = compress(std::string(kMaxBytes + 1, 'x'));
+	EXPECT_FALSE(decompress(compressed, kMaxBytes));
+	EXPECT_TRUE(decompress(compressed, kMaxBytes + 1));
+	EXPECT_FALSE(decompress(compressed.substr(0, compressed.size() - 1), 2 * kMaxBytes));
+	EXPECT_FALSE(decompress(compressed + 'x', 2 * kMaxBytes));
 }
 
-/// 72 gateways asked a relay of 200 Mbit/s for 3,000 changed records at once: 513 kB each are 1.5 s of its link, in
-/// which their lists grow too old to send by. All then read the store, whose answers are longer still, and before
-/// 3,000 servers 288 gateways served nothing any more. Before: 513 kB. After, compressed: 50 kB, 0.15 s of the
-/// link.
-TEST(ContentCodec, anUpdateOfThousandsOfBackendsIsSmall)
+/// Guards against updates that overload a relay's link. When 72 gateways request 3,000 changed records at the same
+/// time from a relay with 200 Mbit/s, uncompressed updates of 513 kB each occupy its link for 1.5 s, in which the
+/// gateways' lists become too old to send requests by. All gateways then read the store, whose answers are larger
+/// still, and with 3,000 servers 288 gateways stopped serving. Compressed updates of 50 kB occupy the link for 0.15
+/// s.
+TEST(ContentCodec, compressesAnUpdateOfThousandsOfBackends)
 {
 	const ContentUpdate update = changedBackends();
-	std::size_t plain = 0;
+	std::size_t uncompressedBytes = 0;
 	for (const KvItem& item : update.items)
 	{
-		plain += item.key.size() + item.value.size();
+		uncompressedBytes += item.key.size() + item.value.size();
 	}
 	const std::string body = encodeUpdateBody(update);
-	EXPECT_GT(plain, 500'000U);
+	EXPECT_GT(uncompressedBytes, 500'000U);
 	EXPECT_LT(body.size(), 100'000U);
 	const auto decoded = decodeUpdate(encodeUpdate({10, 10 + kBackends, 5, 1}, body));
 	ASSERT_TRUE(decoded);
@@ -78,34 +79,34 @@
 	EXPECT_EQ(decoded->items[kBackends - 1].value, update.items[kBackends - 1].value);
 }
 
-TEST(BodyCache, aBodyIsMadeOnceForEachRevision)
+TEST(BodyCache, encodesABodyOncePerRevision)
 {
 	BodyCache cache;
-	unsigned made = 0;
-	const auto make = [&made]
+	unsigned encodeCount = 0;
+	const auto encode = [&encodeCount]
 	{
-		++made;
-		return std::to_string(made);
+		++encodeCount;
+		return std::to_string(encodeCount);
 	};
-	for (int asked = 0; asked < 72; ++asked)
+	for (int request = 0; request < 72; ++request)
 	{
-		EXPECT_EQ(cache.body(5, 9, make), "1");
+		EXPECT_EQ(cache.body(5, 9, encode), "1");
 	}
-	EXPECT_EQ(cache.body(6, 9, make), "2");
-	EXPECT_EQ(cache.body(5, 10, make), "3");
+	EXPECT_EQ(cache.body(6, 9, encode), "2");
+	EXPECT_EQ(cache.body(5, 10, encode), "3");
 	for (std::uint64_t since = 100; since < 100 + BodyCache::kMostBodies - 1; ++since)
 	{
-		cache.body(since, 10, make);
+		cache.body(since, 10, encode);
 	}
-	const unsigned full = made;
-	EXPECT_EQ(cache.body(5, 10, make), "3") << "a full cache made a body anew that it held";
-	EXPECT_EQ(made, full);
+	const unsigned encodesWhenFull = encodeCount;
+	EXPECT_EQ(cache.body(5, 10, encode), "3") << "a full cache made a body anew that it held";
+	EXPECT_EQ(encodeCount, encodesWhenFull);
 	for (std::uint64_t since = 1000; since < 2000; ++since)
 	{
-		cache.body(since, 10, make);
+		cache.body(since, 10, encode);
 	}
-	const std::string again = cache.body(5, 10, make);
-	EXPECT_EQ(again, std::to_string(made));
+	const std::string encodedAgain = cache.body(5, 10, encode);
+	EXPECT_EQ(encodedAgain, std::to_string(encodeCount));
 }
 
 } // namespace beacongate::test
--- a/tests/later/gossipcodec.cpp
+++ b/tests/later/gossipcodec.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Datagrams as a later build may send them: the present ones, with the next format number and one more field.
+// Gossip encoder of a simulated later build: the current encoder, with the next format number and one more field.
 
-// The present encoder under another name; its file takes the place of the library's in this program.
-#define encodeGossip encodePresentGossip
-#include "protocol/gossipcodec.cpp" // NOLINT(bugprone-suspicious-include): its encoder is needed under another name.
+// Renames the current encoder; this file replaces the library's gossipcodec.cpp in the program.
+#define encodeGossip encodeCurrentGossip
+#include "protocol/gossipcodec.cpp" // NOLINT(bugprone-suspicious-include): the encoder has to be compiled under another name.
 #undef encodeGossip
 
 namespace beacongate
@@ -14,7 +14,7 @@
 
 std::string encodeGossip(const GossipMessage& _message)
 {
-	Json fields = Json::from_msgpack(encodePresentGossip(_message));
+	Json fields = Json::from_msgpack(encodeCurrentGossip(_message));
 	fields[0] = kFormat + 1;
 	fields.push_back("a field that is not known yet");
 	std::string bytes;
--- a/tests/processes.h
+++ b/tests/processes.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Starts this project's programs for a test, each on addresses of its own, and ends them again.
+/// Starts this project's programs as processes of a test, each on its own address, and ends them with the test.
 
 #ifndef BEACONGATE_TESTS_PROCESSES_H
 #define BEACONGATE_TESTS_PROCESSES_H
@@ -26,19 +26,21 @@
 
 namespace beacongate::test
 {
-/// An answer with its fault, where there is none.
+/// Result of an HTTP call: the answer, or the fault where there is none.
 struct Reply
 {
 	bool answered = false;
 	HttpFault fault = HttpFault::Broken;
 	HttpAnswer answer;
 
+	/// @returns the value of the Beacongate-Outcome header.
 	std::string outcome() const
 	{
 		return std::string(findHeader(answer.headers, "Beacongate-Outcome"));
 	}
 };
 
+/// Makes an HTTP call and waits for its answer.
 inline Reply request(const Address& _address, const std::string& _method, const std::string& _target,
 					 const std::string& _body = {}, const HttpHeaders& _headers = {})
 {
@@ -54,8 +56,8 @@
 	return reply;
 }
 
-/// Processes of one test. The loopback address is made from the test's process id, so that tests
-/// that run at the same time do not meet.
+/// Processes of one test. The loopback address is derived from the test's process id, so that tests that run at the
+/// same time do not use the same addresses.
 class Processes
 {
 public:
@@ -78,13 +80,15 @@
 	Processes(const Processes&) = delete;
 	Processes& operator=(const Processes&) = delete;
 
-	/// @returns the address of a name, the same each time.
-	Address at(const std::string& _name)
+	/// @returns the address of the named process, which stays the same during the test.
+	Address addressOf(const std::string& _name)
 	{
 		const auto next = static_cast<std::uint16_t>(20000 + m_ports.size());
 		return Address{m_host, m_ports.emplace(_name, next).first->second};
 	}
 
+	/// Starts a program.
+	/// @param[in] _name Name of the process in this test.
 	void start(const std::string& _name, const std::string& _program, std::vector<std::string> _arguments)
 	{
 		const std::string path = std::string(BEACONGATE_BIN) + "/" + _program;
@@ -105,37 +109,42 @@
 		m_pids[_name] = pid;
 	}
 
-	void standin(const std::string& _name, const std::string& _kind)
+	/// Starts a stand-in of a kind that beacongate-standin offers.
+	void startStandin(const std::string& _name, const std::string& _kind)
 	{
-		start(_name, "beacongate-standin", {_kind, "--listen", toString(at(_name))});
+		start(_name, "beacongate-standin", {_kind, "--listen", toString(addressOf(_name))});
 	}
 
-	/// Starts entry and control number N as eN, in data centre dcN.
-	void pair(int _number)
+	/// Starts the entry eN and the control process ceN in data centre dcN, where N is the number.
+	void startEntryAndControl(int _number)
 	{
-		entry(_number);
+		startEntry(_number);
 		const std::string id = "e" + std::to_string(_number);
 		std::vector<std::string> arguments{
 			"--id", id, "--region", "r", "--data-centre", "dc" + std::to_string(_number), "--vm", "vm-" + id};
-		arguments.insert(arguments.end(), {"--listen", toString(at("c" + id)), "--entry", toString(at("i" + id))});
-		arguments.insert(arguments.end(), {"--store", toString(at("store")), "--vm-list", toString(at("cloud"))});
+		arguments.insert(arguments.end(),
+						 {"--listen", toString(addressOf("c" + id)), "--entry", toString(addressOf("i" + id))});
+		arguments.insert(arguments.end(),
+						 {"--store", toString(addressOf("store")), "--vm-list", toString(addressOf("cloud"))});
 		start("c" + id, "beacongate-control", arguments);
 	}
 
-	void entry(int _number)
+	/// Starts the entry eN in data centre dcN, where N is the number.
+	void startEntry(int _number)
 	{
 		const std::string id = "e" + std::to_string(_number);
 		start(id, "beacongate-entry",
-			  {"--id", id, "--data-centre", "dc" + std::to_string(_number), "--listen", toString(at(id)),
-			   "--internal", toString(at("i" + id)), "--stop-grace-ms", "300", "--stop-notice-ms", "20000"});
+			  {"--id", id, "--data-centre", "dc" + std::to_string(_number), "--listen", toString(addressOf(id)),
+			   "--internal", toString(addressOf("i" + id)), "--stop-grace-ms", "300", "--stop-notice-ms", "20000"});
 	}
 
+	/// Sends a signal to a process.
 	void signal(const std::string& _name, int _signal)
 	{
 		::kill(m_pids.at(_name), _signal);
 	}
 
-	/// Stops a process and waits until all its threads stand still.
+	/// Stops a process with SIGSTOP and waits until all its threads are stopped.
 	void freeze(const std::string& _name)
 	{
 		signal(_name, SIGSTOP);
@@ -143,7 +152,8 @@
 	}
 
 	/// Waits for the end of a process.
-	/// @returns its exit code, or minus the signal that ended it, or -1000 where it did not end in time.
+	/// @returns its exit code, the negated number of the signal that ended it, or -1000 where it did not end in
+	/// time.
 	int waitFor(const std::string& _name)
 	{
 		int status = 0;
@@ -156,14 +166,15 @@
 		return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 	}
 
-	/// @returns the state of an entry ("ie1") or control ("ce1"), or null.
+	/// @returns the state of an entry ("ie1") or a control process ("ce1"); null where it does not answer.
 	Json state(const std::string& _name)
 	{
-		const Reply reply = request(at(_name), "GET", "/debug/state");
+		const Reply reply = request(addressOf(_name), "GET", "/debug/state");
 		return reply.answered ? Json::parse(reply.answer.body, nullptr, false) : Json();
 	}
 
-	/// Starts everything that most tests need and waits until two entries serve.
+	/// Starts the stand-ins, two entries and their control processes, and waits until both entries serve. `ready`
+	/// says whether they do.
 	void startAll()
 	{
 		for (const auto& [name, kind] : std::map<std::string, std::string>{{"store", "store"},
@@ -172,20 +183,20 @@
 																		   {"engine2", "engine"},
 																		   {"log", "service"}})
 		{
-			standin(name, kind);
+			startStandin(name, kind);
 		}
-		await([&] { return request(at("store"), "POST", "/standin", "{}").answered; });
+		await([&] { return request(addressOf("store"), "POST", "/standin", "{}").answered; });
 		Json config = Json::parse(R"({"version": 1, "teams": [{"name": "a", "token": "ta"}],
 			"services": [{"name": "m", "kind": "model"}, {"name": "log", "kind": "plain"}]})");
 		config["backends"] = Json::array({backend("engine1", "m"), backend("engine2", "m"), backend("log", "log")});
 		const Json body{{"put", {{"/beacongate/config", config.dump()}}}};
-		request(at("store"), "POST", "/standin", body.dump());
-		pair(1);
-		pair(2);
+		request(addressOf("store"), "POST", "/standin", body.dump());
+		startEntryAndControl(1);
+		startEntryAndControl(2);
 		ready = await([&] { return sealed("ie1", 2) && sealed("ie2", 2); });
 	}
 
-	/// @returns whether an entry has all seals of a roster of that many members, and a configuration.
+	/// @returns true if an entry has a configuration and all seals of a roster with this number of members.
 	bool sealed(const std::string& _entry, std::size_t _members)
 	{
 		const Json state = this->state(_entry);
@@ -199,19 +210,21 @@
 			   control["roster"]["version"] == state["entry"]["roster"];
 	}
 
-	/// How often a key ran at the stand-in service.
+	/// @returns how often a key was executed by the stand-in service.
 	int executions(const std::string& _key)
 	{
-		return Json::parse(request(at("log"), "GET", "/executions").answer.body).value(_key, 0);
+		return Json::parse(request(addressOf("log"), "GET", "/executions").answer.body).value(_key, 0);
 	}
 
+	/// Calls the plain service with an idempotency key.
 	Reply call(const std::string& _entry, const std::string& _key)
 	{
 		return request(
-			at(_entry), "POST", "/services/log/write", "{}",
+			addressOf(_entry), "POST", "/services/log/write", "{}",
 			{{"Authorization", "Bearer ta"}, {"Idempotency-Key", _key}, {"Beacongate-Issued-Version", "2"}});
 	}
 
+	/// Requests a streamed completion.
 	Reply stream(const std::string& _entry, int _tokens, const std::string& _key = {})
 	{
 		const Json body{{"model", "m"}, {"prompt", "tell me"}, {"max_tokens", _tokens}, {"stream", true}};
@@ -220,7 +233,7 @@
 		{
 			headers.emplace_back("Idempotency-Key", _key);
 		}
-		return request(at(_entry), "POST", "/v1/completions", body.dump(), headers);
+		return request(addressOf(_entry), "POST", "/v1/completions", body.dump(), headers);
 	}
 
 	bool ready = false;
@@ -230,7 +243,7 @@
 	{
 		return {{"id", _id},
 				{"service", _service},
-				{"address", toString(at(_id))},
+				{"address", toString(addressOf(_id))},
 				{"vm", "vm-" + _id},
 				{"dataCentre", "dc1"}};
 	}
--- a/tests/processestest.cpp
+++ b/tests/processestest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What only real processes show: kills, freezes, cuts and planned stops.
+/// Behaviour that needs real processes: kills, frozen processes, broken connections and planned stops.
 
 #include "processes.h"
 
@@ -18,13 +18,13 @@
 {
 namespace
 {
-/// Checks that a streamed answer is the whole one that any engine gives.
-void expectWhole(const Reply& _reply, std::uint64_t _tokens)
+/// Checks that a streamed answer is complete and equals the answer of any engine.
+void expectCompleteStream(const Reply& _reply, std::uint64_t _tokens)
 {
 	ASSERT_TRUE(_reply.answered);
 	ASSERT_EQ(200u, _reply.answer.status) << _reply.answer.body;
 	SseReader reader;
-	std::uint64_t next = 0;
+	std::uint64_t nextOffset = 0;
 	bool ended = false;
 	for (const SseEvent& event : reader.feed(_reply.answer.body))
 	{
@@ -32,17 +32,17 @@
 		ended = ended || chunk.end;
 		if (chunk.token.has_value())
 		{
-			EXPECT_EQ(next, chunk.offset.value_or(~0ull));
-			EXPECT_EQ(standin::engineToken("tell me", next), *chunk.token);
-			++next;
+			EXPECT_EQ(nextOffset, chunk.offset.value_or(~0ull));
+			EXPECT_EQ(standin::engineToken("tell me", nextOffset), *chunk.token);
+			++nextOffset;
 		}
 	}
 	EXPECT_TRUE(ended);
-	EXPECT_EQ(_tokens, next);
+	EXPECT_EQ(_tokens, nextOffset);
 }
 
 /// @returns a key whose home is the named entry.
-std::string keyOfHome(Processes& _processes, const std::string& _entry)
+std::string keyWithHome(Processes& _processes, const std::string& _entry)
 {
 	const Roster roster = readRoster(_processes.state("ce1")["roster"]);
 	for (int ii = 0;; ++ii)
@@ -64,13 +64,13 @@
 		ASSERT_TRUE(processes.ready);
 	}
 
-	/// Waits until an entry has so many requests under way.
+	/// Waits until an entry has this number of requests in flight.
 	bool awaitActive(const std::string& _entry, std::size_t _count)
 	{
 		return await([&] { return _count == processes.state(_entry)["requests"].size(); });
 	}
 
-	/// @returns a call that runs on another thread.
+	/// Runs a call on another thread.
 	template <typename Call> std::future<Reply> inBackground(Call _call)
 	{
 		return std::async(std::launch::async, std::move(_call));
@@ -80,10 +80,10 @@
 };
 } // namespace
 
-TEST_F(ProcessesTest, aStreamAndACallAreServedByEitherEntry)
+TEST_F(ProcessesTest, eitherEntryServesStreamsAndCalls)
 {
-	expectWhole(processes.stream("e1", 20), 20);
-	expectWhole(processes.stream("e2", 20), 20);
+	expectCompleteStream(processes.stream("e1", 20), 20);
+	expectCompleteStream(processes.stream("e2", 20), 20);
 	for (const char* entry : {"e1", "e2"})
 	{
 		const Reply reply = processes.call(entry, "twice");
@@ -92,7 +92,7 @@
 	EXPECT_EQ(1, processes.executions("twice"));
 }
 
-TEST_F(ProcessesTest, aKilledEngineCostsNoToken)
+TEST_F(ProcessesTest, aStreamSurvivesAKilledEngineWithoutLosingTokens)
 {
 	auto stream = inBackground([&] { return processes.stream("e1", 200); });
 	ASSERT_TRUE(await(
@@ -102,40 +102,40 @@
 			return 1 == rows.size() && 20 < rows[0]["tokens"].get<int>();
 		}));
 	processes.signal(processes.state("ie1")["requests"][0]["backend"].get<std::string>(), SIGKILL);
-	expectWhole(stream.get(), 200);
+	expectCompleteStream(stream.get(), 200);
 	const Json stats = processes.state("ie1")["stats"];
 	EXPECT_EQ(1, stats["retries"]);
 	EXPECT_LT(20, stats["savedTokens"].get<int>());
 }
 
-TEST_F(ProcessesTest, aStoppedEntryCutsOffNothing)
+TEST_F(ProcessesTest, aStoppedEntryCompletesItsRequests)
 {
 	auto stream = inBackground([&] { return processes.stream("e1", 300); });
 	auto call = inBackground([&] { return processes.call("e1", "stopping"); });
 	ASSERT_TRUE(awaitActive("ie1", 1));
 	processes.signal("e1", SIGTERM);
 	EXPECT_EQ("done", call.get().outcome());
-	expectWhole(stream.get(), 300);
+	expectCompleteStream(stream.get(), 300);
 	EXPECT_EQ(0, processes.waitFor("e1"));
-	// Its claims are with the other entry now, the answer as well.
+	// The other entry has taken over its claims and the answer.
 	ASSERT_TRUE(await([&] { return processes.sealed("ie2", 1); }));
 	EXPECT_EQ("done", processes.call("e2", "stopping").outcome());
 	EXPECT_EQ(1, processes.executions("stopping"));
 }
 
-TEST_F(ProcessesTest, aStoppedControlCutsOffNothing)
+TEST_F(ProcessesTest, aStoppedControlInterruptsNoRequest)
 {
 	auto stream = inBackground([&] { return processes.stream("e1", 200); });
 	ASSERT_TRUE(awaitActive("ie1", 1));
 	processes.signal("ce1", SIGTERM);
 	EXPECT_EQ(0, processes.waitFor("ce1"));
-	expectWhole(stream.get(), 200);
-	expectWhole(processes.stream("e1", 10), 10);
+	expectCompleteStream(stream.get(), 200);
+	expectCompleteStream(processes.stream("e1", 10), 10);
 }
 
-TEST_F(ProcessesTest, aKeyWhoseHomeIsFrozenDoesNotRunWhenTheCallerWasToldSo)
+TEST_F(ProcessesTest, aKeyWithAFrozenHomeIsAnsweredNotRunAndDoesNotRun)
 {
-	const std::string key = keyOfHome(processes, "e1");
+	const std::string key = keyWithHome(processes, "e1");
 	processes.freeze("e1");
 	const Reply refused = processes.call("e2", key);
 	EXPECT_EQ("not-run", refused.outcome()) << refused.answer.body;
@@ -146,10 +146,10 @@
 	EXPECT_EQ(1, processes.executions(key));
 }
 
-TEST_F(ProcessesTest, aKeyWhoseEntryWasKilledWhileItRanNeverRunsAgain)
+TEST_F(ProcessesTest, aKeyIsNotExecutedAgainAfterItsEntryWasKilled)
 {
-	request(processes.at("log"), "POST", "/standin", R"({"delayMs": 3000})");
-	const std::string key = keyOfHome(processes, "e2");
+	request(processes.addressOf("log"), "POST", "/standin", R"({"delayMs": 3000})");
+	const std::string key = keyWithHome(processes, "e2");
 	auto call = inBackground([&] { return processes.call("e1", key); });
 	ASSERT_TRUE(await([&] { return 1 == processes.executions(key); }));
 	processes.signal("e1", SIGKILL);
@@ -157,43 +157,43 @@
 	const Reply again = processes.call("e2", key);
 	EXPECT_EQ("unknown", again.outcome()) << again.answer.body;
 	processes.waitFor("e1");
-	processes.entry(1);
+	processes.startEntry(1);
 	ASSERT_TRUE(await([&] { return processes.sealed("ie1", 2) && processes.sealed("ie2", 2); }));
 	EXPECT_EQ("unknown", processes.call("e1", key).outcome());
 	EXPECT_EQ("unknown", processes.call("e2", key).outcome());
 	EXPECT_EQ(1, processes.executions(key));
-	request(processes.at("log"), "POST", "/standin", R"({"delayMs": 0})");
+	request(processes.addressOf("log"), "POST", "/standin", R"({"delayMs": 0})");
 }
 
-TEST_F(ProcessesTest, aCallWhoseAnswerIsLostIsUnknownAtOnceAndStaysSo)
+TEST_F(ProcessesTest, aCallWithALostAnswerIsAndStaysUnknown)
 {
-	request(processes.at("log"), "POST", "/standin", R"({"cut": true})");
+	request(processes.addressOf("log"), "POST", "/standin", R"({"cut": true})");
 	EXPECT_EQ("unknown", processes.call("e1", "cut").outcome());
-	request(processes.at("log"), "POST", "/standin", R"({"cut": false})");
+	request(processes.addressOf("log"), "POST", "/standin", R"({"cut": false})");
 	EXPECT_EQ("unknown", processes.call("e2", "cut").outcome());
 	EXPECT_EQ(1, processes.executions("cut"));
 }
 
-TEST_F(ProcessesTest, withoutTheStoreEverythingIsServedAndAReclaimIsHeeded)
+TEST_F(ProcessesTest, servesAndHandlesAReclaimWithoutTheStore)
 {
-	request(processes.at("store"), "POST", "/standin", R"({"mode": "down"})");
+	request(processes.addressOf("store"), "POST", "/standin", R"({"mode": "down"})");
 	ASSERT_TRUE(await([&] { return !processes.state("ce1")["storeReachable"].get<bool>(); }));
-	expectWhole(processes.stream("e1", 10), 10);
+	expectCompleteStream(processes.stream("e1", 10), 10);
 	EXPECT_EQ("done", processes.call("e1", "outage").outcome());
 	EXPECT_EQ("done", processes.call("e2", "outage").outcome());
 	EXPECT_EQ(1, processes.executions("outage"));
-	request(processes.at("cloud"), "POST", "/standin",
+	request(processes.addressOf("cloud"), "POST", "/standin",
 			R"({"vms": [{"id": "vm-engine1", "state": "leaving", "notice_ms": 30000}]})");
-	const auto leaves = [&](const char* _entry)
+	const auto isLeaving = [&](const char* _entry)
 	{
 		return "leaving" == processes.state(_entry)["backends"][0]["state"];
 	};
-	ASSERT_TRUE(await([&] { return leaves("ie1") && leaves("ie2"); }));
-	expectWhole(processes.stream("e1", 10), 10);
-	expectWhole(processes.stream("e2", 10), 10);
+	ASSERT_TRUE(await([&] { return isLeaving("ie1") && isLeaving("ie2"); }));
+	expectCompleteStream(processes.stream("e1", 10), 10);
+	expectCompleteStream(processes.stream("e2", 10), 10);
 }
 
-TEST_F(ProcessesTest, badInputIsAnsweredByTypeAndTheEntryGoesOn)
+TEST_F(ProcessesTest, answersInvalidInputWithATypedErrorAndKeepsServing)
 {
 	struct Case
 	{
@@ -204,7 +204,7 @@
 		const char* type;
 	};
 	const HttpHeaders team{{"Authorization", "Bearer ta"}};
-	const std::string good = R"({"model": "m", "prompt": "p", "max_tokens": 1})";
+	const std::string validBody = R"({"model": "m", "prompt": "p", "max_tokens": 1})";
 	const std::vector<Case> cases{
 		{"/nothing", "", team, 404, "unknown-service"},
 		{"/v1/completions", "{", team, 400, "malformed-request"},
@@ -216,16 +216,16 @@
 		{"/v1/completions", R"({"model": "log", "prompt": "p"})", team, 404, "unknown-model"},
 		{"/services/no/x", "", team, 404, "unknown-service"},
 		{"/services/m/x", "", team, 404, "unknown-service"},
-		{"/v1/completions", good, {}, 401, "unknown-token"},
-		{"/v1/completions", good, {{"Authorization", "Bearer no"}}, 401, "unknown-token"},
-		{"/v1/completions", good, {team[0], {"Beacongate-Deadline-Ms", "soon"}}, 400, "malformed-request"},
-		{"/v1/completions", good, {team[0], {"Beacongate-Priority", "10"}}, 400, "malformed-request"},
-		{"/v1/completions", good, {team[0], {"Idempotency-Key", std::string(200, 'k')}}, 400, "key-invalid"},
+		{"/v1/completions", validBody, {}, 401, "unknown-token"},
+		{"/v1/completions", validBody, {{"Authorization", "Bearer no"}}, 401, "unknown-token"},
+		{"/v1/completions", validBody, {team[0], {"Beacongate-Deadline-Ms", "soon"}}, 400, "malformed-request"},
+		{"/v1/completions", validBody, {team[0], {"Beacongate-Priority", "10"}}, 400, "malformed-request"},
+		{"/v1/completions", validBody, {team[0], {"Idempotency-Key", std::string(200, 'k')}}, 400, "key-invalid"},
 		{"/v1/completions", std::string(2u << 20, ' '), team, 413, "body-too-large"},
-		{"/v1/completions", good, {team[0], {"X-Long", std::string(20'000, 'x')}}, 413, "body-too-large"}};
+		{"/v1/completions", validBody, {team[0], {"X-Long", std::string(20'000, 'x')}}, 413, "body-too-large"}};
 	for (const Case& item : cases)
 	{
-		const Reply reply = request(processes.at("e1"), "POST", item.target, item.body, item.headers);
+		const Reply reply = request(processes.addressOf("e1"), "POST", item.target, item.body, item.headers);
 		ASSERT_TRUE(reply.answered) << item.target << ' ' << item.body.substr(0, 80);
 		EXPECT_EQ(item.status, reply.answer.status) << reply.answer.body;
 		EXPECT_EQ("not-run", reply.outcome());
@@ -233,7 +233,7 @@
 		EXPECT_EQ(std::string("urn:beacongate:problem:") + item.type, body["type"].get<std::string>());
 		EXPECT_FALSE(body["detail"].get<std::string>().empty());
 	}
-	expectWhole(processes.stream("e1", 3), 3);
+	expectCompleteStream(processes.stream("e1", 3), 3);
 }
 
 } // namespace beacongate::test
--- a/tests/quotacodectest.cpp
+++ b/tests/quotacodectest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Datagrams about quotas: bytes that landed are read, and bytes that are none are told apart.
+/// Datagrams about quota grants: those of earlier builds are decoded, and any other bytes are rejected.
 
 #include "protocol/quotacodec.h"
 #include "golden.h"
@@ -19,65 +19,65 @@
 {
 namespace
 {
-const QuotaAsk kAsk{1234567890123, "fleet-a", 4711.5};
-const QuotaAnswer kAnswer{1234567890123, GrantOutcome::Refused, 250'000, 300'000, "fleet-a", 4711.5};
-const QuotaReturn kReturn{"fleet-a", 4711.5};
+const QuotaAsk kGrantRequest{1234567890123, "fleet-a", 4711.5};
+const QuotaAnswer kGrantAnswer{1234567890123, GrantOutcome::Refused, 250'000, 300'000, "fleet-a", 4711.5};
+const QuotaReturn kGrantReturn{"fleet-a", 4711.5};
 
-void expectSame(const std::string& _bytes, const QuotaMessage& _message)
+void expectDecodesTo(const std::string& _bytes, const QuotaMessage& _message)
 {
 	ASSERT_TRUE(isQuotaDatagram(_bytes));
-	const auto read = decodeQuota(_bytes);
-	ASSERT_TRUE(read);
-	EXPECT_EQ(encodeQuota(*read), encodeQuota(_message));
+	const auto decoded = decodeQuota(_bytes);
+	ASSERT_TRUE(decoded);
+	EXPECT_EQ(encodeQuota(*decoded), encodeQuota(_message));
 }
 } // namespace
 
-TEST(QuotaCodec, readsWhatBuildsOfBeforeSend)
+TEST(QuotaCodec, decodesAndEncodesTheGoldenDatagrams)
 {
-	expectSame(golden("quota-ask-7"), kAsk);
-	expectSame(golden("quota-answer-7"), kAnswer);
-	expectSame(golden("quota-return-7"), kReturn);
-	EXPECT_EQ(encodeQuota(kAsk), golden("quota-ask-7"));
-	EXPECT_EQ(encodeQuota(kAnswer), golden("quota-answer-7"));
-	EXPECT_EQ(encodeQuota(kReturn), golden("quota-return-7"));
+	expectDecodesTo(golden("quota-ask-7"), kGrantRequest);
+	expectDecodesTo(golden("quota-answer-7"), kGrantAnswer);
+	expectDecodesTo(golden("quota-return-7"), kGrantReturn);
+	EXPECT_EQ(encodeQuota(kGrantRequest), golden("quota-ask-7"));
+	EXPECT_EQ(encodeQuota(kGrantAnswer), golden("quota-answer-7"));
+	EXPECT_EQ(encodeQuota(kGrantReturn), golden("quota-return-7"));
 }
 
-TEST(QuotaCodec, keepsAllFields)
+TEST(QuotaCodec, roundTripsAllFieldsOfAnAnswer)
 {
-	const auto read = decodeQuota(encodeQuota(kAnswer));
-	ASSERT_TRUE(read);
-	const auto& answer = std::get<QuotaAnswer>(*read);
-	EXPECT_EQ(answer.id, kAnswer.id);
-	EXPECT_EQ(answer.outcome, kAnswer.outcome);
-	EXPECT_EQ(answer.wait, kAnswer.wait);
-	EXPECT_EQ(answer.hold, kAnswer.hold);
-	EXPECT_EQ(answer.team, kAnswer.team);
-	EXPECT_EQ(answer.amount, kAnswer.amount);
+	const auto decoded = decodeQuota(encodeQuota(kGrantAnswer));
+	ASSERT_TRUE(decoded);
+	const auto& answer = std::get<QuotaAnswer>(*decoded);
+	EXPECT_EQ(answer.id, kGrantAnswer.id);
+	EXPECT_EQ(answer.outcome, kGrantAnswer.outcome);
+	EXPECT_EQ(answer.wait, kGrantAnswer.wait);
+	EXPECT_EQ(answer.hold, kGrantAnswer.hold);
+	EXPECT_EQ(answer.team, kGrantAnswer.team);
+	EXPECT_EQ(answer.amount, kGrantAnswer.amount);
 }
 
-/// Gateways of builds that know nothing of grants drop them, and gossip is never taken for a grant.
-TEST(QuotaCodec, isToldApartFromGossip)
+/// Builds without quota grants drop these datagrams, and gossip is never decoded as a message about grants.
+TEST(QuotaCodec, isDistinguishedFromGossip)
 {
-	EXPECT_FALSE(decodeGossip(encodeQuota(kAsk)));
-	EXPECT_FALSE(decodeGossip(encodeQuota(kAnswer)));
+	EXPECT_FALSE(decodeGossip(encodeQuota(kGrantRequest)));
+	EXPECT_FALSE(decodeGossip(encodeQuota(kGrantAnswer)));
 	EXPECT_FALSE(isQuotaDatagram(encodeGossip(GossipMessage())));
 	EXPECT_FALSE(isQuotaDatagram(golden("gossip-6")));
 	EXPECT_FALSE(isQuotaDatagram(golden("gossip-7")));
 }
 
-TEST(QuotaCodec, passesOverFieldsOfALaterFormat)
+TEST(QuotaCodec, ignoresAddedFieldsOfALaterFormat)
 {
-	Json fields = Json::from_msgpack(encodeQuota(kAsk));
+	Json fields = Json::from_msgpack(encodeQuota(kGrantRequest));
 	fields[0] = 8;
 	fields.push_back("a field that is not known yet");
 	std::string bytes;
 	Json::to_msgpack(fields, bytes);
-	expectSame(bytes, kAsk);
+	expectDecodesTo(bytes, kGrantRequest);
 }
 
-TEST(QuotaCodec, refusesWhatMakesNoSense)
+TEST(QuotaCodec, rejectsInvalidMessages)
 {
-	const std::vector<Json> wrong = {
+	const std::vector<Json> invalidMessages = {
 		Json::array({7, 4}),
 		Json::array({7, 4, 1, "team", -1.0}),
 		Json::array({7, 4, 1, "team", "much"}),
@@ -88,7 +88,7 @@
 		Json::array({7, 6, "team"}),
 		Json::array({}),
 	};
-	for (const Json& fields : wrong)
+	for (const Json& fields : invalidMessages)
 	{
 		std::string bytes;
 		Json::to_msgpack(fields, bytes);
@@ -96,12 +96,12 @@
 	}
 }
 
-RC_GTEST_PROP(QuotaCodec, readsNoBytesAsPartOfAMessage, (const std::string& bytes, std::uint8_t length))
+RC_GTEST_PROP(QuotaCodec, rejectsTruncatedMessages, (const std::string& bytes, std::uint8_t length))
 {
-	decodeQuota(bytes); // Whatever they are, they are read to an end.
-	const std::string whole = encodeQuota(kAnswer);
-	const std::size_t cut = length % whole.size();
-	RC_ASSERT(!decodeQuota(std::string_view(whole).substr(0, cut)));
+	decodeQuota(bytes); // Arbitrary bytes must not crash the decoder.
+	const std::string complete = encodeQuota(kGrantAnswer);
+	const std::size_t cut = length % complete.size();
+	RC_ASSERT(!decodeQuota(std::string_view(complete).substr(0, cut)));
 }
 
 } // namespace beacongate::test
