--- a/tests/gatewayprotocoltest.cpp
+++ b/tests/gatewayprotocoltest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Framing, events, gossip and the platform's formats.
+/// HTTP framing, event streams, gossip, store content and the platform's formats.
 
 #include "platform/documents.h"
 #include "platform/headers.h"
@@ -27,37 +27,37 @@
 constexpr std::size_t kHeaderLimit = 4096;
 constexpr std::size_t kBodyLimit = 1u << 20;
 
-struct Parsed
+struct ParseResult
 {
 	ParseFault fault = ParseFault::None;
 	bool done = false;
 	MessageHead head;
 	std::string body;
-	std::string rest;
+	std::string unparsed;
 };
 
-/// Feeds bytes in pieces of the given sizes, the last one again and again.
-Parsed parse(MessageKind _kind, const std::string& _bytes, const std::vector<std::uint8_t>& _sizes = {},
-			 std::size_t _bodyLimit = kBodyLimit)
+/// Parses bytes in pieces whose sizes are taken from a list, repeatedly and modulo 40.
+ParseResult parse(MessageKind _kind, const std::string& _bytes, const std::vector<std::uint8_t>& _sizes = {},
+				  std::size_t _bodyLimit = kBodyLimit)
 {
 	MessageParser parser(_kind, kHeaderLimit, _bodyLimit);
-	Parsed parsed;
+	ParseResult result;
 	std::string input;
-	std::size_t given = 0;
-	std::size_t turn = 0;
-	while (given < _bytes.size() && !parser.done() && parser.fault() == ParseFault::None)
+	std::size_t bytesFed = 0;
+	std::size_t sizeIndex = 0;
+	while (bytesFed < _bytes.size() && !parser.done() && parser.fault() == ParseFault::None)
 	{
-		const std::size_t size = _sizes.empty() ? _bytes.size() : 1 + _sizes[turn++ % _sizes.size()] % 40;
-		const std::size_t count = std::min(size, _bytes.size() - given);
-		input += _bytes.substr(given, count);
-		given += count;
-		input.erase(0, parser.consume(input, parsed.body));
+		const std::size_t size = _sizes.empty() ? _bytes.size() : 1 + _sizes[sizeIndex++ % _sizes.size()] % 40;
+		const std::size_t count = std::min(size, _bytes.size() - bytesFed);
+		input += _bytes.substr(bytesFed, count);
+		bytesFed += count;
+		input.erase(0, parser.consume(input, result.body));
 	}
-	parsed.fault = parser.fault();
-	parsed.done = parser.done();
-	parsed.head = parser.head();
-	parsed.rest = input + _bytes.substr(given);
-	return parsed;
+	result.fault = parser.fault();
+	result.done = parser.done();
+	result.head = parser.head();
+	result.unparsed = input + _bytes.substr(bytesFed);
+	return result;
 }
 
 std::string settingsText(const std::string& _change = "")
@@ -83,18 +83,18 @@
 }
 } // namespace
 
-RC_GTEST_PROP(MessageParser, readsTheSameInAnyPieces, (const std::vector<std::uint8_t>& sizes))
+RC_GTEST_PROP(MessageParser, parsesTheSameInAnyPieces, (const std::vector<std::uint8_t>& sizes))
 {
 	const std::string chunked = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
 								"5\r\nhello\r\n6;x=y\r\n world\r\n0\r\nTrailer: t\r\n\r\nGET /next";
-	const Parsed parsed = parse(MessageKind::Request, chunked, sizes);
-	RC_ASSERT(parsed.done);
-	RC_ASSERT(parsed.body == "hello world");
-	RC_ASSERT(parsed.head.headers.size() == 2u);
-	RC_ASSERT(parsed.rest == "GET /next");
+	const ParseResult result = parse(MessageKind::Request, chunked, sizes);
+	RC_ASSERT(result.done);
+	RC_ASSERT(result.body == "hello world");
+	RC_ASSERT(result.head.headers.size() == 2u);
+	RC_ASSERT(result.unparsed == "GET /next");
 }
 
-TEST(MessageParser, rejectsTwoWaysToTellTheLength)
+TEST(MessageParser, rejectsAmbiguousAndInvalidLengths)
 {
 	const std::string head = "POST /a HTTP/1.1\r\nHost: h\r\n";
 	for (const char* lengths : {"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -106,7 +106,7 @@
 	}
 }
 
-TEST(MessageParser, tellsWhichLimitIsPassed)
+TEST(MessageParser, reportsWhichLimitIsExceeded)
 {
 	const std::string longHeader = "GET /a HTTP/1.1\r\nX: " + std::string(2 * kHeaderLimit, 'x') + "\r\n\r\n";
 	EXPECT_EQ(parse(MessageKind::Request, longHeader).fault, ParseFault::HeaderTooLarge);
@@ -117,9 +117,9 @@
 	EXPECT_EQ(parse(MessageKind::Request, longChunks, {}, 10).fault, ParseFault::BodyTooLarge);
 }
 
-TEST(MessageParser, anAnswerIsWholeOnlyWhereItsFramingSaysSo)
+TEST(MessageParser, anAnswerIsCompleteOnlyIfItsFramingSaysSo)
 {
-	for (const auto& [bytes, whole] : std::vector<std::pair<std::string, bool>>{
+	for (const auto& [bytes, complete] : std::vector<std::pair<std::string, bool>>{
 			 {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", false},
 			 {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", false},
 			 {"HTTP/1.1 200 OK\r\n\r\nhello", true}})
@@ -129,21 +129,21 @@
 		parser.consume(bytes, body);
 		EXPECT_FALSE(parser.done());
 		parser.finishAtEnd();
-		EXPECT_EQ(parser.done(), whole) << bytes;
-		EXPECT_EQ(parser.fault() == ParseFault::Truncated, !whole) << bytes;
+		EXPECT_EQ(parser.done(), complete) << bytes;
+		EXPECT_EQ(parser.fault() == ParseFault::Truncated, !complete) << bytes;
 	}
 }
 
-TEST(MessageParser, bytesAfterAnAnswerAreNotItsBody)
+TEST(MessageParser, bytesAfterAnAnswerAreNotPartOfItsBody)
 {
-	const Parsed parsed =
+	const ParseResult result =
 		parse(MessageKind::Answer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
-	EXPECT_TRUE(parsed.done);
-	EXPECT_EQ(parsed.body, "ok");
-	EXPECT_EQ(parsed.rest, "HTTP/1.1 200 OK\r\n");
+	EXPECT_TRUE(result.done);
+	EXPECT_EQ(result.body, "ok");
+	EXPECT_EQ(result.unparsed, "HTTP/1.1 200 OK\r\n");
 }
 
-TEST(Forwarding, leavesOutWhatConcernsOneConnection)
+TEST(Forwarding, removesHopByHopHeaders)
 {
 	const HttpHeaders kept = endToEndHeaders({{"Host", "h"},
 											  {"Connection", "close, X-Hop"},
@@ -155,22 +155,22 @@
 	EXPECT_EQ(kept, (HttpHeaders{{"Host", "h"}, {"X-End", "2"}}));
 }
 
-RC_GTEST_PROP(EventSplitter, givesTheSameEventsInAnyPieces, (const std::vector<std::uint8_t>& sizes))
+RC_GTEST_PROP(EventSplitter, returnsTheSameEventsInAnyPieces, (const std::vector<std::uint8_t>& sizes))
 {
 	const std::string stream =
 		"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: x\ndata: c\n\nid: 4\ndata: cut";
 	EventSplitter splitter;
 	std::vector<StreamEvent> events;
-	std::size_t given = 0;
-	std::size_t turn = 0;
-	while (given < stream.size())
+	std::size_t bytesFed = 0;
+	std::size_t sizeIndex = 0;
+	while (bytesFed < stream.size())
 	{
-		const std::size_t size = sizes.empty() ? stream.size() : 1 + sizes[turn++ % sizes.size()] % 9;
-		for (StreamEvent& event : splitter.add(std::string_view(stream).substr(given, size)))
+		const std::size_t size = sizes.empty() ? stream.size() : 1 + sizes[sizeIndex++ % sizes.size()] % 9;
+		for (StreamEvent& event : splitter.add(std::string_view(stream).substr(bytesFed, size)))
 		{
 			events.push_back(std::move(event));
 		}
-		given += size;
+		bytesFed += size;
 	}
 	RC_ASSERT(events.size() == 4u);
 	RC_ASSERT(events[0].id == std::optional<std::uint64_t>(1));
@@ -179,7 +179,7 @@
 	RC_ASSERT(splitter.pending() == std::string("id: 4\ndata: cut").size());
 }
 
-TEST(GossipCodec, givesBackWhatWasSent)
+TEST(GossipCodec, roundTripsAllFields)
 {
 	GossipMessage message;
 	message.run = {"a", 17};
@@ -228,7 +228,7 @@
 	EXPECT_EQ(decoded->centreUsage[0].second.count, 21u);
 }
 
-TEST(GossipCodec, boundsTheLoadsOfAMessageHoweverManyServersThereAre)
+TEST(GossipCodec, limitsTheNumberOfLoadsInAMessage)
 {
 	GossipMessage message;
 	for (unsigned number = 0; number < 10'000; ++number)
@@ -242,7 +242,7 @@
 	EXPECT_EQ(decoded->loads[0].inFlight, 255u) << "what does not fit is told as the most that fits";
 }
 
-RC_GTEST_PROP(GossipCodec, refusesBytesThatAreNoMessage, (const std::string& bytes))
+RC_GTEST_PROP(GossipCodec, rejectsTruncatedMessages, (const std::string& bytes))
 {
 	decodeGossip(bytes);
 	GossipMessage message;
@@ -251,7 +251,7 @@
 	RC_ASSERT(!decodeGossip(cut));
 }
 
-TEST(ContentCodec, givesBackWhatWasSentAndRefusesTheRest)
+TEST(ContentCodec, roundTripsAllFieldsAndRejectsOtherInput)
 {
 	ContentUpdate update;
 	update.since = 7;
@@ -276,10 +276,11 @@
 	StoreContent content;
 	content.revision = 5;
 	content.items["k"] = {"k", "v", 4};
-	const auto whole = decodeContent(encodeContent(content.revision, 100, encodeContentBody(content)), 1000);
-	ASSERT_TRUE(whole);
-	EXPECT_EQ(whole->confirmed, 900);
-	EXPECT_EQ(whole->items.at("k").value, "v");
+	const auto decodedContent =
+		decodeContent(encodeContent(content.revision, 100, encodeContentBody(content)), 1000);
+	ASSERT_TRUE(decodedContent);
+	EXPECT_EQ(decodedContent->confirmed, 900);
+	EXPECT_EQ(decodedContent->items.at("k").value, "v");
 	EXPECT_FALSE(decodeUpdate(encodeContent(content.revision, 100, encodeContentBody(content))));
 	EXPECT_FALSE(decodeContent("nonsense", 0));
 	EXPECT_EQ(readUpdatePath("/content/since/12"), 12u);
@@ -287,7 +288,7 @@
 	EXPECT_FALSE(readUpdatePath("/content"));
 }
 
-TEST(PlatformSettings, areReadAndUnknownFieldsPassedOver)
+TEST(PlatformSettings, readsSettingsAndIgnoresUnknownFields)
 {
 	const GatewaySettings settings = platform::readSettings(settingsText());
 	EXPECT_EQ(settings.name, "front-1");
@@ -299,7 +300,7 @@
 	EXPECT_FALSE(settings.ordersCapacity);
 }
 
-TEST(PlatformSettings, whatIsMissingOrContradictsIsNamed)
+TEST(PlatformSettings, namesMissingAndContradictorySettings)
 {
 	for (const auto& [change, named] : std::vector<std::pair<std::string, std::string>>{
 			 {R"({"nodeName": null})", "nodeName"},
@@ -326,7 +327,7 @@
 	EXPECT_THROW(platform::readSettings("{"), Error);
 }
 
-TEST(PlatformDocuments, aConfigurationIsReadWhole)
+TEST(PlatformDocuments, readsACompleteConfiguration)
 {
 	const RoutingConfigPtr config = platform::readConfig(R"({"version": 7, "routes": [
 		{"name": "r1", "host": "H.example", "pathPrefix": "/a/", "kind": "streaming", "timeoutMs": 15000,
@@ -351,7 +352,7 @@
 	EXPECT_EQ(config->limits.headerBytes, 100u);
 }
 
-TEST(PlatformDocuments, aConfigurationThatCannotBeReadIsRefused)
+TEST(PlatformDocuments, rejectsInvalidConfigurations)
 {
 	for (const char* text : {"", "[]", R"({"routes": [], "services": []})", R"({"version": 1, "services": []})",
 							 R"({"version": 1, "routes": [{"host": "h"}], "services": []})",
@@ -362,7 +363,7 @@
 	}
 }
 
-TEST(PlatformHeaders, onlyTheGatewaySpeaksForTheTeamAndTheTarget)
+TEST(PlatformHeaders, replacesForgedHeadersAndRemovesSecrets)
 {
 	const HttpHeaders fromCaller{{"Host", "h"},
 								 {"X-Beacongate-Tenant-Id", "forged"},
@@ -384,7 +385,7 @@
 								 {platform::kTenant, "t"}}));
 }
 
-TEST(PlatformHeaders, aRequestsHeadIsReadAndNonsenseRefused)
+TEST(PlatformHeaders, readsRequestHeadersAndRejectsInvalidDeadlines)
 {
 	MessageHead head;
 	head.headers = {{"Host", "h"},
@@ -406,7 +407,7 @@
 	}
 }
 
-TEST(PlatformStore, anAnswerThatIsLostOrMakesNoSenseIsNeverTakenForNotDone)
+TEST(PlatformStore, lostOrInvalidAnswersLeaveTheOutcomeUnknown)
 {
 	EXPECT_EQ(platform::readTransaction(std::nullopt).outcome, KvOutcome::Unknown);
 	EXPECT_EQ(platform::readTransaction(HttpAnswer{500, {}, ""}).outcome, KvOutcome::Unknown);
@@ -420,7 +421,7 @@
 	EXPECT_TRUE(platform::readWatch(HttpAnswer{410, {}, ""})->historyLost);
 }
 
-TEST(PlatformStore, eventsTellWhatIsGone)
+TEST(PlatformStore, readsEventsOfRemovedKeys)
 {
 	const std::string body = R"({"events": [{"key": "a", "value": ")" + toBase64("v") +
 							 R"(", "revision": 5}, {"key": "b", "revision": 6, "gone": true}], "at": 6})";
--- a/tests/protocoltest.cpp
+++ b/tests/protocoltest.cpp
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Documents, codecs and the operators' language: what goes in comes out, and bad input is told by type and place.
+/// Documents, codecs and the operators' command language: valid input round-trips, and errors give the type and the
+/// position of invalid input.
 
 #include "daemon/logging.h"
 #include "daemon/options.h"
@@ -27,7 +28,7 @@
 	"services": [{"name": "m", "kind": "model"}, {"name": "log", "kind": "plain"}],
 	"backends": [{"id": "b1", "service": "m", "address": "127.0.0.1:9", "vm": "v1", "dataCentre": "dc0"}]})";
 
-/// @returns the failure and the text that a call throws.
+/// @returns the failure and the message of the Error that a call throws.
 template <typename Call> std::pair<Failure, std::string> failureOf(Call _call)
 {
 	try
@@ -41,7 +42,7 @@
 	return {Failure::Internal, "nothing was thrown"};
 }
 
-std::string changed(const std::string& _from, const std::string& _to)
+std::string documentWith(const std::string& _from, const std::string& _to)
 {
 	std::string text = kDocument;
 	text.replace(text.find(_from), _from.size(), _to);
@@ -49,12 +50,12 @@
 }
 } // namespace
 
-RC_GTEST_PROP(Etcd, base64GivesBackAnyBytes, (const std::string& _bytes))
+RC_GTEST_PROP(Etcd, base64RoundTripsAnyBytes, (const std::string& _bytes))
 {
 	RC_ASSERT(fromBase64(toBase64(_bytes)) == _bytes);
 }
 
-RC_GTEST_PROP(PeerCodec, anyHandoverAndAnswerComesThrough,
+RC_GTEST_PROP(PeerCodec, roundTripsAnyHandoverAndAnswer,
 			  (const std::string& _body, const std::vector<std::string>& _tokens))
 {
 	RequestHandover handover;
@@ -66,21 +67,21 @@
 	end.kept = true;
 	end.answer.body = _body;
 	const PeerEnvelope sent{EntryRef{"e1", 5}, EntryRef{"e2", 6}, {handover, end}};
-	const PeerEnvelope got = decodeEnvelope(encodeEnvelope(sent));
-	RC_ASSERT(got.from == sent.from);
-	RC_ASSERT(got.to == sent.to);
-	RC_ASSERT(std::get<RequestHandover>(got.messages.at(0)).payload.body == _body);
-	RC_ASSERT(std::get<RequestHandover>(got.messages.at(0)).tokens == _tokens);
-	RC_ASSERT(std::get<RequestHandover>(got.messages.at(0)).released == handover.released);
-	RC_ASSERT(std::get<AttachEnd>(got.messages.at(1)).answer.body == _body);
+	const PeerEnvelope received = decodeEnvelope(encodeEnvelope(sent));
+	RC_ASSERT(received.from == sent.from);
+	RC_ASSERT(received.to == sent.to);
+	RC_ASSERT(std::get<RequestHandover>(received.messages.at(0)).payload.body == _body);
+	RC_ASSERT(std::get<RequestHandover>(received.messages.at(0)).tokens == _tokens);
+	RC_ASSERT(std::get<RequestHandover>(received.messages.at(0)).released == handover.released);
+	RC_ASSERT(std::get<AttachEnd>(received.messages.at(1)).answer.body == _body);
 }
 
-RC_GTEST_PROP(PeerCodec, anyOtherBytesAreRefusedByType, (const std::string& _bytes))
+RC_GTEST_PROP(PeerCodec, rejectsOtherBytesAsMalformed, (const std::string& _bytes))
 {
 	RC_ASSERT(Failure::MalformedRequest == failureOf([&] { decodeEnvelope(_bytes); }).first);
 }
 
-RC_GTEST_PROP(Sse, eventsAreTheSameHoweverTheBytesAreCut, (const std::vector<std::uint8_t>& _cuts))
+RC_GTEST_PROP(Sse, parsesTheSameEventsInAnyPieces, (const std::vector<std::uint8_t>& _cuts))
 {
 	std::string bytes;
 	for (std::uint64_t ii = 0; ii < 5; ++ii)
@@ -113,40 +114,42 @@
 	RC_ASSERT(chunks.back().end);
 }
 
-TEST(ConfigDoc, saysWhatIsWrongAndWhere)
+TEST(ConfigDoc, errorsGiveThePositionAndTheCause)
 {
 	const std::vector<std::pair<std::string, std::string>> cases{
 		{"{", "not JSON, at byte 2"},
-		{changed("\"version\": 3", "\"version\": 0"), "document: 'version' has to be at least 1"},
-		{changed("\"version\": 3", "\"wersion\": 3"), "document: 'wersion' is not known"},
-		{changed("\"weight\": 2", "\"weight\": -1"), "teams[0]: 'weight' has to be above 0 and at most 1000000"},
-		{changed("\"weight\": 2", "\"weight\": \"x\""), "teams[0]: 'weight' has the wrong type"},
-		{changed("\"kind\": \"model\"", "\"kind\": \"model\", \"repeatable\": false"),
+		{documentWith("\"version\": 3", "\"version\": 0"), "document: 'version' has to be at least 1"},
+		{documentWith("\"version\": 3", "\"wersion\": 3"), "document: 'wersion' is not known"},
+		{documentWith("\"weight\": 2", "\"weight\": -1"),
+		 "teams[0]: 'weight' has to be above 0 and at most 1000000"},
+		{documentWith("\"weight\": 2", "\"weight\": \"x\""), "teams[0]: 'weight' has the wrong type"},
+		{documentWith("\"kind\": \"model\"", "\"kind\": \"model\", \"repeatable\": false"),
 		 "services[0]: a model is always repeatable"},
-		{changed("\"name\": \"log\"", "\"name\": \"m\""), "services[1]: 'm' stands twice"},
-		{changed("\"service\": \"m\"", "\"service\": \"x\""), "backends[0]: service 'x' is not in 'services'"},
-		{changed("127.0.0.1:9", "localhost:9"), "backends[0]: 'localhost:9' is no IP number and port (IP:port)"},
-		{changed("127.0.0.1:9", "127.0.0.1:70000"),
+		{documentWith("\"name\": \"log\"", "\"name\": \"m\""), "services[1]: 'm' stands twice"},
+		{documentWith("\"service\": \"m\"", "\"service\": \"x\""), "backends[0]: service 'x' is not in 'services'"},
+		{documentWith("127.0.0.1:9", "localhost:9"),
+		 "backends[0]: 'localhost:9' is no IP number and port (IP:port)"},
+		{documentWith("127.0.0.1:9", "127.0.0.1:70000"),
 		 "backends[0]: '127.0.0.1:70000' is no IP number and port (IP:port)"}};
 	for (const auto& item : cases)
 	{
-		const auto [failure, told] = failureOf([&] { jsonDocumentCodec().readConfig(item.first); });
+		const auto [failure, message] = failureOf([&] { jsonDocumentCodec().readConfig(item.first); });
 		EXPECT_EQ(Failure::ConfigInvalid, failure);
-		EXPECT_EQ(item.second, told);
+		EXPECT_EQ(item.second, message);
 	}
 	EXPECT_EQ(3u, jsonDocumentCodec().readConfig(kDocument).config->version);
 }
 
-TEST(ConfigDoc, aDocumentWithALowerVersionIsRefused)
+TEST(ConfigDoc, rejectsADocumentWithALowerVersion)
 {
 	const auto apply = []
 	{
-		jsonDocumentCodec().editConfig(kDocument, "apply " + changed("\"version\": 3", "\"version\": 2"), "c");
+		jsonDocumentCodec().editConfig(kDocument, "apply " + documentWith("\"version\": 3", "\"version\": 2"), "c");
 	};
 	EXPECT_EQ(Failure::ConfigStale, failureOf(apply).first);
 }
 
-TEST(ConfigDoc, aChangeRaisesTheVersionAndIsNoted)
+TEST(ConfigDoc, aChangeRaisesTheVersionAndEntersTheHistory)
 {
 	const ConfigDoc next = jsonDocumentCodec().editConfig(kDocument, "set team a weight 5", "c1");
 	EXPECT_EQ(4u, next.config->version);
@@ -156,7 +159,7 @@
 	EXPECT_TRUE(jsonDocumentCodec().editConfig(next.text, "remove backend b1", "c2").config->backends.empty());
 }
 
-TEST(Query, saysWhichWordIsWrong)
+TEST(Query, errorsNameTheWrongWord)
 {
 	const std::vector<std::pair<std::string, std::string>> cases{
 		{"show nothing", "'nothing' is none of backends, requests, teams, services, entries, config"},
@@ -175,7 +178,7 @@
 	EXPECT_EQ("there is no 'nobody' in teams", failureOf(unknown).second);
 }
 
-TEST(Query, choosesRowsByNumbersAndTexts)
+TEST(Query, selectsRowsByNumbersAndStrings)
 {
 	const Json rows = Json::parse(R"([{"id": "b1", "active": 2}, {"id": "b2", "active": 10}])");
 	EXPECT_EQ("b2", select(rows, readQuery("show backends where active > 9").conditions).at(0)["id"]);
@@ -187,7 +190,7 @@
 	EXPECT_EQ("there is no column 'colour'", failureOf(unknown).second);
 }
 
-TEST(Rpc, anErrorKeepsItsTypeAndAnyRequestGetsAnAnswer)
+TEST(Rpc, errorsKeepTheirTypeAndEveryRequestIsAnswered)
 {
 	RpcServer server({{"fail",
 					   [](const std::string&) -> std::string
@@ -205,7 +208,7 @@
 	EXPECT_FALSE(rpcResult("nonsense").ok);
 }
 
-TEST(Settings, contradictionsAndWrongValuesEndWithTwo)
+TEST(Settings, contradictoryOrInvalidSettingsEndWithExitCode2)
 {
 	const std::vector<std::vector<const char*>> cases{
 		{"entry", "--id", "e1"},
@@ -224,7 +227,7 @@
 	}
 }
 
-TEST(Logging, oneEventIsOneLine)
+TEST(Logging, formatsAnEventAsOneLine)
 {
 	EXPECT_EQ(R"(event=x a=1 b="two words" c="q\" end" d="")",
 			  formatEvent("x", {{"a", "1"}, {"b", "two words"}, {"c", "q\" end"}, {"d", ""}}));
