--- a/src/coordination/peertable.h
+++ b/src/coordination/peertable.h
@@ -37,7 +37,7 @@
 	/// A message is new for sure if it echoes something that was sent within this span.
 	static constexpr Micros kFresh = 1 * kSecond;
 	/// A peer that nobody has heard for longer is not counted as a member.
-	static constexpr Micros kMemory = 12 * kSecond;
+	static constexpr Micros kMemberTimeout = 12 * kSecond;
 
 	/// @param[in] ownHost Never taken for a peer.
 	explicit PeerTable(std::string _ownHost) : m_ownHost(std::move(_ownHost))
@@ -58,19 +58,19 @@
 	std::vector<std::string> targets(Micros _now) const;
 
 	/// @returns hosts that were heard of late.
-	std::vector<std::string> heardHosts(Micros _now) const;
+	std::vector<std::string> liveHosts(Micros _now) const;
 
 	/// @returns what is to be echoed to a host.
 	Micros echoFor(const std::string& _host) const;
 
 	/// @returns whether a host says that it has started within a span.
-	bool isYoung(const std::string& _host, Micros _span) const;
+	bool startedWithin(const std::string& _host, Micros _span) const;
 
 	/// @returns the gateways there may be, this one included.
 	std::size_t memberCount(Micros _now) const;
 
 	/// @returns the host whose configuration was confirmed last, if that is later than a moment.
-	std::optional<std::string> freshestAfter(Micros _moment, Micros _now) const;
+	std::optional<std::string> newestConfigHost(Micros _moment, Micros _now) const;
 
 	/// @returns all peers by host.
 	const std::map<std::string, Peer>& peers() const
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -9,7 +9,7 @@
 
 #include "beacongate/routing.h"
 #include "beacongate/types.h"
-#include "coordination/fleetword.h"
+#include "coordination/fleetliveness.h"
 #include "coordination/quotagrant.h"
 #include "coordination/tokenbucket.h"
 #include "coordination/usagerate.h"
@@ -37,14 +37,14 @@
 };
 
 /// By what a request was refused.
-enum class QuotaBound : std::uint8_t
+enum class QuotaRefusalReason : std::uint8_t
 {
 	None,     ///< It was not.
 	Level,    ///< Nothing is left of the team's bucket, as far as is known.
 	Part,     ///< Something is left, but not for all that ask for it at all gateways.
 	OwnShare, ///< The others are not heard, and this gateway has had its share.
 	Grantor,  ///< The gateway that grants for the team has none left.
-	Unproved, ///< What is left will be known as the others are heard, within moments: the request has to wait.
+	Pending,  ///< What is left will be known as the others are heard, within moments: the request has to wait.
 };
 
 /// By which rule a request is admitted.
@@ -63,18 +63,18 @@
 };
 
 /// @returns the name used in logs.
-std::string_view toString(QuotaBound _bound);
+std::string_view toString(QuotaRefusalReason _bound);
 
 /// What became of a request.
 struct QuotaVerdict
 {
-	QuotaBound bound = QuotaBound::None;
+	QuotaRefusalReason bound = QuotaRefusalReason::None;
 	Micros wait = 0; ///< Until it is likely to pass.
 
 	/// @returns whether the amount was taken.
 	bool passes() const
 	{
-		return bound == QuotaBound::None;
+		return bound == QuotaRefusalReason::None;
 	}
 };
 
@@ -92,8 +92,8 @@
 {
 	std::string team;
 	std::size_t passed = 0;
-	std::map<QuotaBound, std::size_t> refused; ///< By what.
-	std::size_t grants = 0;                    ///< That this gateway gave, to requests here and elsewhere.
+	std::map<QuotaRefusalReason, std::size_t> refused; ///< By what.
+	std::size_t grants = 0;                            ///< That this gateway gave, to requests here and elsewhere.
 	std::size_t grantsRefused = 0;
 	double level = 0.0;  ///< Of the bucket at the end of the span.
 	double demand = 0.0; ///< That all gateways are taken to be asked for, a second's worth.
@@ -125,7 +125,7 @@
 	}
 
 	/// Names what was left of buckets before this gateway started; to be called before configure().
-	void setKeptLevels(std::map<std::string, std::uint64_t> _levels)
+	void setStoredLevels(std::map<std::string, std::uint64_t> _levels)
 	{
 		m_keptLevels = std::move(_levels);
 	}
@@ -134,14 +134,14 @@
 	std::map<std::string, std::uint64_t> levels(Micros _now) const;
 
 	/// @returns of whom there is word.
-	const FleetWord& word() const
+	const FleetLiveness& word() const
 	{
-		return m_word;
+		return m_liveness;
 	}
 
 	/// @returns what a gateway that has just started is told of the teams' buckets; nothing where this one does not
 	/// know it for sure.
-	std::vector<QuotaLevel> levelsToTell(Micros _now) const;
+	std::vector<QuotaLevel> levelsToReport(Micros _now) const;
 
 	/// A gateway that has been running for long says what is left; taken in by one that has just started, once.
 	/// @remarks Without it, one that is restarted alone shares what was kept of a bucket with all others, as if
@@ -279,7 +279,7 @@
 	/// @returns whether this gateway has had its part of what all may take before they hear of each other.
 	bool exceedsPart(const Team& _team, const Standing& _standing, double _amount, Micros _now) const;
 	/// @returns the span within which one gateway's news reach the others, in seconds.
-	double hearingSpan() const;
+	double propagationDelay() const;
 	static QuotaVerdict refusal(const Team& _team, const Standing& _standing, double _amount);
 	/// @returns how long a request has to wait at a level.
 	static Micros waitAt(double _level, const Team& _team, double _amount);
@@ -310,7 +310,7 @@
 	/// @returns whether this gateway does not know yet what the others took before it started.
 	bool settling(Micros _now) const;
 	/// Time passes.
-	void onTime(Micros _now);
+	void onTick(Micros _now);
 	/// Counts the share of the rate that is left to silent gateways as taken.
 	void recordSilentShare(Team& _team, Micros _now) const;
 	/// Counts what a part of the gateways took in a span that no word will tell of, since another collector tells
@@ -328,7 +328,7 @@
 	std::map<std::string, std::uint64_t> m_keptLevels;
 	std::map<std::string, Team> m_teams;
 	std::map<std::string, std::map<std::string, PeerCount>> m_peerCounts;
-	FleetWord m_word;
+	FleetLiveness m_liveness;
 	std::uint64_t m_words = 0;    ///< That were heard.
 	std::vector<QuotaGap> m_gaps; ///< One for each team at most until taken.
 	Micros m_started = kNever;    ///< When it was first configured.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,8 +5,8 @@
 
 #include "coordination/stoppolicy.h"
 #include "daemon/logging.h"
+#include "gateway/erroranswers.h"
 #include "gateway/gatewaystate.h"
-#include "gateway/ownanswers.h"
 #include "platform/headers.h"
 #include "protocol/contentcodec.h"
 
@@ -136,7 +136,7 @@
 void Gateway::onCallerRequest(const ServerSessionPtr& _session, IncomingRequest&& _request)
 {
 	const Micros elapsed = m_context.stopping ? monotonicNow() - m_context.stopRequested : 0;
-	if (m_context.stopping && !StopPolicy(m_context.settings.grace).takesRequests(elapsed))
+	if (m_context.stopping && !StopPolicy(m_context.settings.grace).acceptsRequests(elapsed))
 	{
 		_session->answer(makeOwnAnswer(503, Failure::Stopping, "this gateway is stopping", kStopRetryAfter), true);
 		return;
@@ -227,7 +227,7 @@
 	metrics.setGauge("beacongate_gateways_heard", static_cast<double>(m_context.quotas.word().gatewaysHeard(now)));
 	const Micros wordAge = m_context.quotas.word().age(now);
 	metrics.setGauge("beacongate_quota_word_age_seconds", wordAge == kNever ? -1.0 : secondsOf(wordAge));
-	const QuotaAskCounts& asks = m_context.admission.counts();
+	const QuotaGrantCounts& asks = m_context.admission.counts();
 	metrics.setGauge("beacongate_quota_asks_granted", static_cast<double>(asks.granted));
 	metrics.setGauge("beacongate_quota_asks_refused", static_cast<double>(asks.refused));
 	metrics.setGauge("beacongate_quota_asks_unable", static_cast<double>(asks.unable));
@@ -299,7 +299,7 @@
 	const Micros elapsed = monotonicNow() - m_context.stopRequested;
 	const StopPolicy policy(m_context.settings.grace);
 	const bool noticed = policy.closesIdle(elapsed);
-	const bool mustEnd = policy.mustEnd(elapsed);
+	const bool mustAbort = policy.mustAbort(elapsed);
 	if (noticed)
 	{
 		m_callerListener->close();
@@ -309,7 +309,7 @@
 			session->closeIfIdle();
 		}
 	}
-	if (mustEnd || (noticed && m_callers->sessions.empty()))
+	if (mustAbort || (noticed && m_callers->sessions.empty()))
 	{
 		shutdown();
 		return;
--- a/src/gateway/gossiper.h
+++ b/src/gateway/gossiper.h
@@ -7,7 +7,7 @@
 #ifndef BEACONGATE_GATEWAY_GOSSIPER_H
 #define BEACONGATE_GATEWAY_GOSSIPER_H
 
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 #include "coordination/fleetfollower.h"
 #include "coordination/fleettable.h"
 #include "gateway/gatewaycontext.h"
@@ -59,7 +59,7 @@
 	/// Counts a datagram that is none of a format that is read, and logs the first ones.
 	void onUnreadable(const std::string& _sender);
 	void onReport(const GossipMessage& _message, bool _fresh, Micros _now);
-	void onCentreSums(const GossipMessage& _message, Micros _now);
+	void onDataCentreSums(const GossipMessage& _message, Micros _now);
 	void onFleetSums(const GossipMessage& _message, Micros _now);
 	void answerWithEcho(const std::string& _host, Micros _now);
 	void answerWithSums(const std::string& _host, Micros _now);
@@ -102,7 +102,7 @@
 	/// Their runs, as far as they were heard, and the round until which they are told of all teams.
 	std::map<std::string, std::uint64_t> m_collectorRuns;
 	std::size_t m_tellAllUntil = 0;
-	CollectorWatch m_watch;
+	CollectorMonitor m_watch;
 	std::uint64_t m_unreadable = 0; ///< Datagrams.
 };
 
--- a/src/protocol/gossipcodec.cpp
+++ b/src/protocol/gossipcodec.cpp
@@ -227,7 +227,7 @@
 									 _message.whole,
 									 _message.wantsSums,
 									 _message.gateways,
-									 encodeDataCentreUsage(_message.centreUsage),
+									 encodeDataCentreUsage(_message.dataCentreUsage),
 									 encodeLevels(_message.levels)});
 	std::string bytes;
 	Json::to_msgpack(fields, bytes);
@@ -276,7 +276,7 @@
 		message.whole = fields[22].get<bool>();
 		message.wantsSums = fields[23].get<bool>();
 		message.gateways = fields[24].get<std::size_t>();
-		message.centreUsage = decodeDataCentreUsage(fields[25]);
+		message.dataCentreUsage = decodeDataCentreUsage(fields[25]);
 		// Format 6 has no levels; without them, a gateway that starts enforces its own share of each limit.
 		message.levels = fields.size() > kFormat6FieldCount ? decodeLevels(fields[kFormat6FieldCount])
 															: std::vector<QuotaLevel>();
--- a/src/protocol/quotacodec.cpp
+++ b/src/protocol/quotacodec.cpp
@@ -24,18 +24,18 @@
 /// Encodes each type of message as a list of fields.
 struct Encoder
 {
-	Json operator()(const QuotaAsk& _request) const
+	Json operator()(const QuotaGrantRequest& _request) const
 	{
 		return Json::array({kFormat, kGrantRequest, _request.id, _request.team, _request.amount});
 	}
 
-	Json operator()(const QuotaAnswer& _answer) const
+	Json operator()(const QuotaGrantAnswer& _answer) const
 	{
 		return Json::array({kFormat, kGrantAnswer, _answer.id, static_cast<unsigned>(_answer.outcome), _answer.wait,
 							_answer.hold, _answer.team, _answer.amount});
 	}
 
-	Json operator()(const QuotaReturn& _return) const
+	Json operator()(const QuotaGrantReturn& _return) const
 	{
 		return Json::array({kFormat, kGrantReturn, _return.team, _return.amount});
 	}
@@ -71,14 +71,14 @@
 	switch (_fields.at(1).get<unsigned>())
 	{
 	case kGrantRequest:
-		return QuotaAsk{_fields.at(2).get<std::uint64_t>(), _fields.at(3).get<std::string>(),
-						decodeAmount(_fields.at(4))};
+		return QuotaGrantRequest{_fields.at(2).get<std::uint64_t>(), _fields.at(3).get<std::string>(),
+								 decodeAmount(_fields.at(4))};
 	case kGrantAnswer:
-		return QuotaAnswer{_fields.at(2).get<std::uint64_t>(), decodeOutcome(_fields.at(3)),
-						   _fields.at(4).get<Micros>(),        _fields.at(5).get<Micros>(),
-						   _fields.at(6).get<std::string>(),   decodeAmount(_fields.at(7))};
+		return QuotaGrantAnswer{_fields.at(2).get<std::uint64_t>(), decodeOutcome(_fields.at(3)),
+								_fields.at(4).get<Micros>(),        _fields.at(5).get<Micros>(),
+								_fields.at(6).get<std::string>(),   decodeAmount(_fields.at(7))};
 	case kGrantReturn:
-		return QuotaReturn{_fields.at(2).get<std::string>(), decodeAmount(_fields.at(3))};
+		return QuotaGrantReturn{_fields.at(2).get<std::string>(), decodeAmount(_fields.at(3))};
 	default:
 		return std::nullopt;
 	}
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -311,21 +311,21 @@
 		}
 		if (m_now >= gateway.due)
 		{
-			gateway.due = m_now + GossipPlan::roundSpan(m_load.gateways);
+			gateway.due = m_now + GossipPlan::roundInterval(m_load.gateways);
 			GossipPlan::usesCollectors(m_load.gateways) ? speak(_number) : speakToAll(_number);
 		}
 	}
 
 	void startAdmission(Gateway& _gateway, unsigned _number)
 	{
-		std::vector<std::string> heads;
+		std::vector<std::string> topMembers;
 		for (unsigned head = 0; head < std::min(2 * kDataCentres, m_load.gateways); ++head)
 		{
-			heads.push_back(std::to_string(head));
+			topMembers.push_back(std::to_string(head));
 		}
 		_gateway.admission =
 			std::make_unique<QuotaAdmission>(_gateway.ledger, _gateway.grantor, std::to_string(_number), 0);
-		_gateway.admission->setGrantors(std::move(heads));
+		_gateway.admission->setGrantors(std::move(topMembers));
 		// The fleet may be moved; its gateways stay where they are.
 		_gateway.admission->setSend(
 			[&_gateway, _number](const std::string& _host, const QuotaMessage& _message) {
@@ -336,17 +336,17 @@
 	void hearQuota(Gateway& _gateway, const QuotaDatagram& _datagram)
 	{
 		const std::string from = std::to_string(_datagram.from);
-		if (const auto* ask = std::get_if<QuotaAsk>(&_datagram.message))
+		if (const auto* ask = std::get_if<QuotaGrantRequest>(&_datagram.message))
 		{
-			const QuotaAnswer answer = _gateway.grantor.decide(*ask, from, m_now);
+			const QuotaGrantAnswer answer = _gateway.grantor.decide(*ask, from, m_now);
 			_gateway.outbox.push_back({_datagram.to, _datagram.from, answer});
 			++m_asks;
 		}
-		else if (const auto* answer = std::get_if<QuotaAnswer>(&_datagram.message))
+		else if (const auto* answer = std::get_if<QuotaGrantAnswer>(&_datagram.message))
 		{
 			_gateway.admission->onAnswer(from, *answer, m_now);
 		}
-		else if (const auto* unused = std::get_if<QuotaReturn>(&_datagram.message))
+		else if (const auto* unused = std::get_if<QuotaGrantReturn>(&_datagram.message))
 		{
 			_gateway.grantor.onReturn(*unused, m_now);
 		}
@@ -392,7 +392,7 @@
 
 	static bool isUndecided(const QuotaVerdict& _verdict)
 	{
-		return _verdict.bound == QuotaBound::Unproved;
+		return _verdict.bound == QuotaRefusalReason::Pending;
 	}
 
 	void send(unsigned _from, unsigned _to, GossipMessage _message)
@@ -423,7 +423,7 @@
 		FleetSums own;
 		own.gateways = 1;
 		own.quotas = report.quotas;
-		gateway.follower.onReported(m_now, own);
+		gateway.follower.onReportSent(m_now, own);
 		const bool collects = _number < 2 * kDataCentres;
 		if (collects)
 		{
@@ -466,9 +466,9 @@
 	{
 		Gateway& gateway = m_gateways[_number];
 		gateway.table.expire(m_now);
-		FleetSums sums = gateway.table.centreSums();
+		FleetSums sums = gateway.table.dataCentreSums();
 		GossipMessage message;
-		message.kind = GossipKind::CentreSums;
+		message.kind = GossipKind::DataCentreSums;
 		message.gateways = sums.gateways;
 		message.quotas = sums.quotas;
 		for (unsigned head = 0; head < 2 * kDataCentres; ++head)
@@ -492,7 +492,7 @@
 		Micros& newest = gateway.newest[from];
 		newest = std::max(newest, _message.sent);
 		const bool fresh = _message.echo > 0 && m_now - _message.echo <= kFresh;
-		if (_message.kind == GossipKind::CentreSums)
+		if (_message.kind == GossipKind::DataCentreSums)
 		{
 			sendEcho(_number, from);
 		}
@@ -500,7 +500,8 @@
 		{
 			hearReport(_number, from, _message, fresh);
 		}
-		else if (fresh && _message.kind == GossipKind::CentreSums && gateway.table.onCentreSums(_message, m_now))
+		else if (fresh && _message.kind == GossipKind::DataCentreSums &&
+				 gateway.table.onDataCentreSums(_message, m_now))
 		{
 			const std::string source = _message.dataCentre + '/' + _message.host;
 			takeCounters(gateway, _message.dataCentre, source, _message);
@@ -551,7 +552,7 @@
 
 	void hearFleet(Gateway& _gateway, const GossipMessage& _message)
 	{
-		const auto others = _gateway.follower.othersIn(_message);
+		const auto others = _gateway.follower.sumsOfOthers(_message);
 		if (!others)
 		{
 			return;
@@ -582,7 +583,7 @@
 	std::minstd_rand m_random;
 	std::map<Micros, double> m_taken;
 	std::size_t m_refused = 0;
-	std::map<QuotaBound, std::size_t> m_bounds; ///< By which requests were refused.
+	std::map<QuotaRefusalReason, std::size_t> m_bounds; ///< By which requests were refused.
 	std::size_t m_answered = 0;
 	double m_asked = 0.0;
 	Micros m_now = kSecond;
--- a/tests/compressiontest.cpp
+++ b/tests/compressiontest.cpp
@@ -94,7 +94,7 @@
 	}
 	EXPECT_EQ(cache.body(6, 9, encode), "2");
 	EXPECT_EQ(cache.body(5, 10, encode), "3");
-	for (std::uint64_t since = 100; since < 100 + BodyCache::kMostBodies - 1; ++since)
+	for (std::uint64_t since = 100; since < 100 + BodyCache::kMaxBodies - 1; ++since)
 	{
 		cache.body(since, 10, encode);
 	}
--- a/tests/departurestest.cpp
+++ b/tests/departurestest.cpp
@@ -2,11 +2,11 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// For how long a backend server that left may still be used, and what a gateway takes for an outage of the store.
+/// Tests for how long a backend server that left may still be used, and what counts as an outage of the store.
 
 #include "coordination/directory.h"
 #include "coordination/listreadpace.h"
-#include "coordination/storecontact.h"
+#include "coordination/storereachability.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -19,9 +19,9 @@
 {
 namespace
 {
-constexpr Micros kDrainBound = 2 * kSecond; ///< That a directory keeps where it is told no other.
-constexpr Micros kLook = 50 * kMillisecond; ///< Between two looks at whether a read is due.
-constexpr Micros kPatience = DrainBudget(kDrainBound).patience;
+constexpr Micros kDrainBound = 2 * kSecond;          ///< Default bound of a directory.
+constexpr Micros kCheckInterval = 50 * kMillisecond; ///< Interval of the checks for a due read.
+constexpr Micros kStoreTimeout = DrainBudget(kDrainBound).storeTimeout;
 
 BackendRecord backendOf(const std::string& _id)
 {
@@ -32,9 +32,9 @@
 }
 } // namespace
 
-TEST(Departures, aVanishedServerIsUsedNoLongerThanTheLastListThatNamedItAllows)
+TEST(Departures, theUseOfAVanishedServerIsBoundedFromTheLastListThatNamedIt)
 {
-	// The server may have left right after the list was read that named it last, and it is found missing late.
+	// The server may have left right after the last list that named it, and it is found missing late.
 	const Micros found = kSecond + kDrainBound - 100 * kMillisecond;
 	Directory directory;
 	directory.applyList({1, {backendOf("a")}, kSecond}, kSecond);
@@ -43,17 +43,17 @@
 	EXPECT_TRUE(directory.usableOf("model", kSecond + kDrainBound).empty());
 }
 
-TEST(Departures, aServerThatSaidSoItselfTakesNoWorkWhateverTheListSays)
+TEST(Departures, aServerThatReportedItsDepartureTakesNoWorkWhateverTheListSays)
 {
 	Directory directory;
 	directory.applyList({1, {backendOf("a")}, kSecond}, kSecond);
-	directory.markDraining({"a"}, LeavingSign::Answer, 2 * kSecond);
+	directory.markDraining({"a"}, DepartureSource::Answer, 2 * kSecond);
 	directory.applyList({2, {backendOf("a")}, 3 * kSecond}, 3 * kSecond);
 	EXPECT_FALSE(directory.takesWork({"a"}, 3 * kSecond));
-	const std::vector<LeavingNotice> notices = directory.takeLeavingNotices();
+	const std::vector<DepartureNotice> notices = directory.takeDepartureNotices();
 	ASSERT_EQ(notices.size(), 1u);
-	EXPECT_EQ(notices[0].sign, LeavingSign::Answer);
-	EXPECT_EQ(directory.drainingSince(2 * kSecond).size(), 1u); // Peers are told.
+	EXPECT_EQ(notices[0].source, DepartureSource::Answer);
+	EXPECT_EQ(directory.drainingSince(2 * kSecond).size(), 1u); // It is reported to peers.
 	BackendRecord again = backendOf("a");
 	again.born = 2;
 	directory.applyList({3, {again}, 4 * kSecond}, 4 * kSecond);
@@ -63,7 +63,7 @@
 RC_GTEST_PROP(Departures, noServerIsUsedBeyondTheBoundWhileTheStoreAnswers,
 			  (const std::vector<std::uint8_t>& spans))
 {
-	// Lists come as irregularly as they like; the server leaves right after the first one was read.
+	// Lists arrive at irregular intervals; the server leaves right after the first one was read.
 	Directory directory;
 	Micros now = kSecond;
 	std::uint64_t revision = 1;
@@ -77,120 +77,120 @@
 	}
 }
 
-TEST(StoreContact, oneSilentReadProvesNothingBeforeThePatienceIsOver)
+TEST(StoreReachability, oneSilentReadProvesNothingBeforeTheTimeout)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	EXPECT_FALSE(contact.outOfReach(kSecond + kPatience - 1));
-	EXPECT_TRUE(contact.outOfReach(kSecond + kPatience));
-	contact.onHeard(kSecond + kPatience);
-	EXPECT_FALSE(contact.outOfReach(kSecond + kPatience));
+	StoreReachability contact(kStoreTimeout);
+	contact.onReadSent(kSecond);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + kStoreTimeout - 1));
+	EXPECT_TRUE(contact.isUnreachable(kSecond + kStoreTimeout));
+	contact.onBytesReceived(kSecond + kStoreTimeout);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + kStoreTimeout));
 }
 
-TEST(StoreContact, aReadThatWasGivenUpProvesNoMoreThanItWaited)
+TEST(StoreReachability, anAbandonedReadCountsOnlyForTheTimeThatItWaited)
 {
-	// Reads that are dropped and begun anew never find out about a store that is slower than that.
-	constexpr Micros kDropped = kPatience * 3 / 4;
-	StoreContact contact(kPatience);
+	// Reads that are abandoned and started again never detect a store that is slower than that.
+	constexpr Micros kAbandonedAfter = kStoreTimeout * 3 / 4;
+	StoreReachability contact(kStoreTimeout);
 	Micros now = kSecond;
 	for (int read = 0; read < 10; ++read)
 	{
-		contact.onAsked(now);
-		EXPECT_FALSE(contact.outOfReach(now + kDropped));
-		contact.onGivenUp(now, now + kDropped);
-		now += kDropped;
+		contact.onReadSent(now);
+		EXPECT_FALSE(contact.isUnreachable(now + kAbandonedAfter));
+		contact.onReadAbandoned(now, now + kAbandonedAfter);
+		now += kAbandonedAfter;
 	}
-	contact.onAsked(now);
-	EXPECT_TRUE(contact.outOfReach(now + kPatience));
-	contact.onGivenUp(now, now + kPatience);
-	EXPECT_TRUE(contact.outOfReach(now + kPatience));
+	contact.onReadSent(now);
+	EXPECT_TRUE(contact.isUnreachable(now + kStoreTimeout));
+	contact.onReadAbandoned(now, now + kStoreTimeout);
+	EXPECT_TRUE(contact.isUnreachable(now + kStoreTimeout));
 }
 
-TEST(StoreContact, aTimeOutThatFiresBeforeAnyoneLooksProvesNothing)
+TEST(StoreReachability, aTimeoutThatFiresAfterAStallProvesNothing)
 {
-	// The process was held up; its timers fire first, and the answers that have come are read after them.
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	contact.onGivenUp(kSecond, kSecond + 2 * kPatience);
-	EXPECT_FALSE(contact.outOfReach(kSecond + 2 * kPatience));
-	contact.onAsked(kSecond + 2 * kPatience);
-	EXPECT_FALSE(contact.outOfReach(kSecond + 3 * kPatience - 1));
+	// The process was stalled: its timers fire before it reads the answers that have arrived.
+	StoreReachability contact(kStoreTimeout);
+	contact.onReadSent(kSecond);
+	contact.onReadAbandoned(kSecond, kSecond + 2 * kStoreTimeout);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + 2 * kStoreTimeout));
+	contact.onReadSent(kSecond + 2 * kStoreTimeout);
+	EXPECT_FALSE(contact.isUnreachable(kSecond + 3 * kStoreTimeout - 1));
 }
 
-TEST(StoreContact, aStoreThatTurnsCallsAwayIsOutOfReachOnceItDidSoAgain)
+TEST(StoreReachability, aStoreThatRejectsReadsIsUnreachableFromTheSecondOneOn)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	contact.onTurnedAway(kSecond, kSecond);
-	EXPECT_FALSE(contact.outOfReach(2 * kSecond));
-	contact.onAsked(2 * kSecond);
-	contact.onTurnedAway(2 * kSecond, 2 * kSecond);
-	EXPECT_TRUE(contact.outOfReach(2 * kSecond));
-	contact.onAsked(3 * kSecond);
-	EXPECT_TRUE(contact.outOfReach(3 * kSecond));
+	StoreReachability contact(kStoreTimeout);
+	contact.onReadSent(kSecond);
+	contact.onReadRejected(kSecond, kSecond);
+	EXPECT_FALSE(contact.isUnreachable(2 * kSecond));
+	contact.onReadSent(2 * kSecond);
+	contact.onReadRejected(2 * kSecond, 2 * kSecond);
+	EXPECT_TRUE(contact.isUnreachable(2 * kSecond));
+	contact.onReadSent(3 * kSecond);
+	EXPECT_TRUE(contact.isUnreachable(3 * kSecond));
 	contact.onAnswered(3 * kSecond, 3 * kSecond + kMillisecond);
-	EXPECT_FALSE(contact.outOfReach(3 * kSecond + kMillisecond));
+	EXPECT_FALSE(contact.isUnreachable(3 * kSecond + kMillisecond));
 }
 
-TEST(StoreContact, timeInWhichThisProcessDidNotRunIsNoSilence)
+TEST(StoreReachability, aStallOfThisProcessIsNoSilenceOfTheStore)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	const Micros woken = kSecond + 2 * kPatience;
-	contact.onHeldUp(2 * kPatience - kMillisecond, woken);
-	EXPECT_FALSE(contact.outOfReach(woken));
-	EXPECT_TRUE(contact.outOfReach(woken + kPatience));
+	StoreReachability contact(kStoreTimeout);
+	contact.onReadSent(kSecond);
+	const Micros resumed = kSecond + 2 * kStoreTimeout;
+	contact.onProcessStalled(2 * kStoreTimeout - kMillisecond, resumed);
+	EXPECT_FALSE(contact.isUnreachable(resumed));
+	EXPECT_TRUE(contact.isUnreachable(resumed + kStoreTimeout));
 }
 
-TEST(StoreContact, whatWasFoundLongAgoSaysNothingOnceTheListCameByAnotherWay)
+TEST(StoreReachability, findingsAreResetOnceTheListWasObtainedFromAnotherSource)
 {
-	StoreContact contact(kPatience);
-	contact.onAsked(kSecond);
-	ASSERT_TRUE(contact.outOfReach(kSecond + kPatience));
-	contact.onGivenUp(kSecond, kSecond + kPatience);
-	ASSERT_TRUE(contact.outOfReach(2 * kSecond + kPatience));
-	contact.onAsked(2 * kSecond + kPatience); // Another read waits.
-	contact.onNotNeeded();
-	EXPECT_FALSE(contact.outOfReach(2 * kSecond + kPatience));
+	StoreReachability contact(kStoreTimeout);
+	contact.onReadSent(kSecond);
+	ASSERT_TRUE(contact.isUnreachable(kSecond + kStoreTimeout));
+	contact.onReadAbandoned(kSecond, kSecond + kStoreTimeout);
+	ASSERT_TRUE(contact.isUnreachable(2 * kSecond + kStoreTimeout));
+	contact.onReadSent(2 * kSecond + kStoreTimeout); // Another read is waiting.
+	contact.resetFindings();
+	EXPECT_FALSE(contact.isUnreachable(2 * kSecond + kStoreTimeout));
 }
 
-RC_GTEST_PROP(StoreContact, aStoreThatAnswersWithinThePatienceIsNeverOutOfReach,
+RC_GTEST_PROP(StoreReachability, aStoreThatAnswersWithinTheTimeoutIsNeverUnreachable,
 			  (const std::vector<std::uint8_t>& latencies))
 {
-	// Reads overlap, and answers come in the order of the reads.
-	StoreContact contact(kPatience);
-	std::deque<std::pair<Micros, Micros>> answers; ///< When they come, and when they were asked for.
+	// Reads overlap, and answers arrive in the order of the reads.
+	StoreReachability contact(kStoreTimeout);
+	std::deque<std::pair<Micros, Micros>> answers; ///< Times of arrival and of the request.
 	Micros now = kSecond;
 	Micros last = 0;
 	for (const std::uint8_t latency : latencies)
 	{
-		contact.onAsked(now);
-		last = std::max(last, now + kPatience * latency / 256);
-		answers.emplace_back(std::min(last, now + kPatience - 1), now);
+		contact.onReadSent(now);
+		last = std::max(last, now + kStoreTimeout * latency / 256);
+		answers.emplace_back(std::min(last, now + kStoreTimeout - 1), now);
 		now += kListReadInterval;
 		while (!answers.empty() && answers.front().first <= now)
 		{
-			const auto [came, asked] = answers.front();
+			const auto [arrived, asked] = answers.front();
 			answers.pop_front();
-			RC_ASSERT(!contact.outOfReach(came));
-			contact.onAnswered(asked, came);
+			RC_ASSERT(!contact.isUnreachable(arrived));
+			contact.onAnswered(asked, arrived);
 		}
-		RC_ASSERT(!contact.outOfReach(now));
+		RC_ASSERT(!contact.isUnreachable(now));
 	}
 }
 
-TEST(ListReadPace, asksASilentStoreTwiceUntilItIsOutOfReach)
+TEST(ListReadPace, readsASilentStoreTwiceUntilItIsUnreachable)
 {
 	for (const Micros bound : {2 * kSecond, 3 * kSecond, 4 * kSecond})
 	{
 		const DrainBudget budget(bound);
 		ListReadPace pace(budget);
 		unsigned reads = 0;
-		for (Micros now = kSecond; now < kSecond + budget.patience; now += kLook)
+		for (Micros now = kSecond; now < kSecond + budget.storeTimeout; now += kCheckInterval)
 		{
 			if (pace.due(now))
 			{
-				pace.onBegun(now);
+				pace.onReadStarted(now);
 				++reads;
 			}
 		}
@@ -198,8 +198,8 @@
 	}
 }
 
-/// The store turns slow between two answers; the list must not get too old to send by.
-TEST(ListReadPace, aStoreThatTakesHalfOfTheBoundKeepsTheListYoungEnough)
+/// The store becomes slow between two answers; the list must stay young enough for sending requests by it.
+TEST(ListReadPace, answersThatTakeHalfOfTheBoundKeepTheListYoungEnough)
 {
 	for (const Micros bound : {2 * kSecond, 3 * kSecond, 4 * kSecond})
 	{
@@ -209,24 +209,25 @@
 		std::deque<Micros> asked;
 		Micros confirmed = kSecond;
 		Micros oldest = 0;
-		for (Micros now = kSecond + budget.readFrom; now < 20 * kSecond; now += kLook)
+		for (Micros now = kSecond + budget.listReadAge; now < 20 * kSecond; now += kCheckInterval)
 		{
-			// Once the first answer of the slow store has come: until then the list may be as old as it takes.
-			const bool slowKnown = confirmed > kSecond;
-			oldest = slowKnown ? std::max(oldest, now - confirmed) : oldest;
+			// Counted from the first answer of the slow store: until then the list may be as old as the answer
+			// takes.
+			const bool slowAnswerArrived = confirmed > kSecond;
+			oldest = slowAnswerArrived ? std::max(oldest, now - confirmed) : oldest;
 			while (!asked.empty() && asked.front() + latency <= now)
 			{
 				confirmed = asked.front();
 				asked.pop_front();
 				pace.onAnswered();
 			}
-			if (now - confirmed >= budget.readFrom && pace.due(now))
+			if (now - confirmed >= budget.listReadAge && pace.due(now))
 			{
-				pace.onBegun(now);
+				pace.onReadStarted(now);
 				asked.push_back(now);
 			}
 		}
-		EXPECT_LE(oldest, budget.listLife + kLook) << bound;
+		EXPECT_LE(oldest, budget.maxListAge + kCheckInterval) << bound;
 	}
 }
 
--- a/tests/quotacodectest.cpp
+++ b/tests/quotacodectest.cpp
@@ -19,9 +19,9 @@
 {
 namespace
 {
-const QuotaAsk kGrantRequest{1234567890123, "fleet-a", 4711.5};
-const QuotaAnswer kGrantAnswer{1234567890123, GrantOutcome::Refused, 250'000, 300'000, "fleet-a", 4711.5};
-const QuotaReturn kGrantReturn{"fleet-a", 4711.5};
+const QuotaGrantRequest kGrantRequest{1234567890123, "fleet-a", 4711.5};
+const QuotaGrantAnswer kGrantAnswer{1234567890123, GrantOutcome::Refused, 250'000, 300'000, "fleet-a", 4711.5};
+const QuotaGrantReturn kGrantReturn{"fleet-a", 4711.5};
 
 void expectDecodesTo(const std::string& _bytes, const QuotaMessage& _message)
 {
@@ -46,7 +46,7 @@
 {
 	const auto decoded = decodeQuota(encodeQuota(kGrantAnswer));
 	ASSERT_TRUE(decoded);
-	const auto& answer = std::get<QuotaAnswer>(*decoded);
+	const auto& answer = std::get<QuotaGrantAnswer>(*decoded);
 	EXPECT_EQ(answer.id, kGrantAnswer.id);
 	EXPECT_EQ(answer.outcome, kGrantAnswer.outcome);
 	EXPECT_EQ(answer.wait, kGrantAnswer.wait);
--- a/tests/quotastalltest.cpp
+++ b/tests/quotastalltest.cpp
@@ -11,7 +11,7 @@
 /// each serves what came meanwhile by what it knew before.
 
 #include "collectorfleet.h"
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 
 #include <gtest/gtest.h>
 
@@ -90,8 +90,8 @@
 TEST(QuotaStall, aGatewayThatStoodStillDoesNotTakeItsOwnSleepForTheSilenceOfCollectors)
 {
 	constexpr Micros kRound = limits::kCollectorRound;
-	const std::vector<std::string> heads{"a", "b"};
-	CollectorWatch watch;
+	const std::vector<std::string> topMembers{"a", "b"};
+	CollectorMonitor watch;
 	Micros now = kSecond;
 	Micros heard = now;
 	const auto heardAt = [&heard](const std::string&)
@@ -101,19 +101,19 @@
 	for (int round = 0; round < 8; ++round)
 	{
 		now += kRound;
-		EXPECT_TRUE(watch.takeSilent(now, heardAt, heads).empty());
+		EXPECT_TRUE(watch.takeSilent(now, heardAt, topMembers).empty());
 		watch.onAsked("a", now);
 		watch.onAsked("b", now);
 		heard = now + kMillisecond;
 	}
 	now += 2500 * kMillisecond;
-	EXPECT_TRUE(watch.takeSilent(now, heardAt, heads).empty()) << "it could hear nobody";
+	EXPECT_TRUE(watch.takeSilent(now, heardAt, topMembers).empty()) << "it could hear nobody";
 	watch.onAsked("a", now);
 	std::size_t silent = 0;
 	for (int round = 0; round < 4; ++round)
 	{
 		now += kRound;
-		silent += watch.takeSilent(now, heardAt, heads).size();
+		silent += watch.takeSilent(now, heardAt, topMembers).size();
 	}
 	EXPECT_EQ(silent, 2u) << "they do not answer now";
 }
@@ -121,28 +121,28 @@
 /// What waited in the socket while a gateway stood still, or comes late, proves nothing of the present.
 TEST(QuotaStall, wordsCountByWhatTheyAnswer)
 {
-	FleetWord word;
+	FleetLiveness word;
 	word.setMembers(3);
 	const Micros start = kSecond;
-	word.onTime(start);
-	EXPECT_EQ(word.trust(start), FleetTrust::Lost) << "nobody was ever heard";
+	word.onTick(start);
+	EXPECT_EQ(word.contact(start), FleetContact::Lost) << "nobody was ever heard";
 	word.onHeard("a", start, start, 1);
 	word.onHeard("b", start, start, 1);
-	EXPECT_EQ(word.trust(start), FleetTrust::Whole);
-	const Micros woke = start + 2 * kSecond;
-	word.onTime(woke);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Awaited);
-	word.onHeard("a", woke, woke - kSecond, 1);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Awaited) << "it answers what was sent before the stall";
-	EXPECT_EQ(word.silentShare(woke), 0.0) << "that they were not heard says nothing of them";
-	word.onHeard("a", woke, woke, 1);
-	EXPECT_EQ(word.trust(woke), FleetTrust::Whole);
-	const Micros late = woke + FleetWord::kAwaited + FleetWord::kSilence + 1;
-	for (Micros now = woke; now < late; now += 100 * kMillisecond)
+	EXPECT_EQ(word.contact(start), FleetContact::Whole);
+	const Micros resumedAt = start + 2 * kSecond;
+	word.onTick(resumedAt);
+	EXPECT_EQ(word.contact(resumedAt), FleetContact::Resuming);
+	word.onHeard("a", resumedAt, resumedAt - kSecond, 1);
+	EXPECT_EQ(word.contact(resumedAt), FleetContact::Resuming) << "it answers what was sent before the stall";
+	EXPECT_EQ(word.silentShare(resumedAt), 0.0) << "that they were not heard says nothing of them";
+	word.onHeard("a", resumedAt, resumedAt, 1);
+	EXPECT_EQ(word.contact(resumedAt), FleetContact::Whole);
+	const Micros late = resumedAt + FleetLiveness::kResumeTimeout + FleetLiveness::kSilenceTimeout + 1;
+	for (Micros now = resumedAt; now < late; now += 100 * kMillisecond)
 	{
-		word.onTime(now);
+		word.onTick(now);
 	}
-	EXPECT_EQ(word.trust(late), FleetTrust::Lost);
+	EXPECT_EQ(word.contact(late), FleetContact::Lost);
 	EXPECT_GT(word.silentShare(late), 0.6);
 }
 
--- a/tests/quotatest.cpp
+++ b/tests/quotatest.cpp
@@ -62,7 +62,8 @@
 	const double seconds = static_cast<double>(now - kSecond) / static_cast<double>(kSecond);
 	// Each gateway may take what is there before it hears of the others: a burst and a request apiece, and, at each
 	// cut, the whole rate until the silence is noticed.
-	const double silence = static_cast<double>(FleetWord::kSilence + kStep) / static_cast<double>(kSecond);
+	const double silence =
+		static_cast<double>(FleetLiveness::kSilenceTimeout + kStep) / static_cast<double>(kSecond);
 	const double slack = (kBurst + kRate * 0.01) * static_cast<double>(kGateways) + kRate * silence * cuttings;
 	RC_ASSERT(taken <= kRate * seconds + kBurst + slack);
 }
@@ -87,7 +88,7 @@
 	QuotaLedger ledger;
 	ledger.setMembers(kGateways);
 	ledger.setFirstStart(false);
-	ledger.setKeptLevels({{"team", 1000}});
+	ledger.setStoredLevels({{"team", 1000}});
 	Micros now = kSecond;
 	ledger.configure(*limitedConfig(kRate, kRate), now);
 	double taken = 0.0;
@@ -294,7 +295,7 @@
 	{
 		QuotaLedger ledger;
 		ledger.setFirstStart(false);
-		ledger.setKeptLevels(std::move(_kept));
+		ledger.setStoredLevels(std::move(_kept));
 		ledger.configure(*config, kSecond);
 		double sum = 0.0;
 		while (ledger.take("team", 10.0, kSecond).passes())
@@ -329,7 +330,7 @@
 	QuotaLedger teller;
 	teller.setMembers(2);
 	teller.configure(*config, now - 30 * kSecond);
-	EXPECT_TRUE(teller.levelsToTell(now).empty()) << "it hears nobody";
+	EXPECT_TRUE(teller.levelsToReport(now).empty()) << "it hears nobody";
 	QuotaLedger starter;
 	starter.setFirstStart(false);
 	starter.setMembers(2);
@@ -339,7 +340,7 @@
 	starter.onReport("teller", 1, {"team", 5000.0}, now, 30 * kSecond);
 	starter.onHeard("teller", now, now);
 	EXPECT_FALSE(starter.take("team", 10.0, now).passes()) << "it does not know what is left";
-	starter.adopt(teller.levelsToTell(now), now);
+	starter.adopt(teller.levelsToReport(now), now);
 	EXPECT_TRUE(starter.take("team", 10.0, now).passes());
 	starter.onReport("another", 1, {"team", 5000.0}, now, 20 * kSecond);
 	EXPECT_TRUE(starter.take("team", 10.0, now).passes()) << "what came before is in the level already";
@@ -409,7 +410,7 @@
 		requests += 1.0;
 		while (budget.allows("service", kSecond))
 		{
-			budget.onRepeat("service", kSecond);
+			budget.onRetry("service", kSecond);
 			repeats += 1.0;
 		}
 	}
