--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -101,7 +101,7 @@
 	if (m_firstStart)
 	{
 		// Nothing was used before, and all usage of the others will be reported. Until they are heard, a gateway
-		// goes by its equal share, which begins with a part of the burst.
+		// is limited to its equal share, which begins with a part of the burst.
 		const double part = (1.0 - kInitialBurstShare) / static_cast<double>(m_liveness.members());
 		_team.own.record(_access.burst * part, _now);
 		return;
@@ -153,7 +153,7 @@
 	m_liveness.onTick(_now);
 }
 
-double QuotaLedger::propagationDelay() const
+double QuotaLedger::propagationSeconds() const
 {
 	return secondsOf(GossipPlan::propagationDelay(m_liveness.members()));
 }
@@ -216,27 +216,27 @@
 
 double QuotaLedger::admittedShare(const Team& _team, double _level, double _amount, Micros _now) const
 {
-	const double span = propagationDelay();
+	const double span = propagationSeconds();
 	const double room = _level + _team.bucket.rate() * span;
-	const double asked = demand(_team, _amount, _now) * span;
+	const double requested = demand(_team, _amount, _now) * span;
 	const double few = kFewRequests * _amount;
-	if (asked <= few)
+	if (requested <= few)
 	{
 		return _level > 0.0 ? 1.0 : 0.0;
 	}
-	return std::clamp(room / (asked - few), 0.0, 1.0);
+	return std::clamp(room / (requested - few), 0.0, 1.0);
 }
 
 double QuotaLedger::reportLateness(Micros _now) const
 {
 	const Micros age = std::min(m_liveness.age(_now), m_liveness.silenceTimeout());
-	return std::max(0.0, secondsOf(age) - kMeanReportAge * propagationDelay());
+	return std::max(0.0, secondsOf(age) - kMeanReportAge * propagationSeconds());
 }
 
 double QuotaLedger::unreportedUsage(const Team& _team, Micros _now) const
 {
 	const double others = _team.rate.others(m_liveness.lastHeard());
-	const double meanDelay = kMeanReportAge * propagationDelay();
+	const double meanDelay = kMeanReportAge * propagationSeconds();
 	// Half of the estimate is enough for a team that is refused nothing here. With the whole of it, a team at 0.6
 	// of its limit was refused up to 3 in 1,000 requests as a third of the gateways resumed from a stall
 	// (quotastalltest).
@@ -300,12 +300,12 @@
 bool QuotaLedger::exceedsFairShare(const Team& _team, const Availability& _availability, double _amount,
 								   Micros _now) const
 {
-	// A gateway that goes by its equal share is bounded by it already.
+	// A gateway that is limited to its equal share is bounded by it already.
 	if (m_liveness.members() <= 1 || _availability.isolated)
 	{
 		return false;
 	}
-	const double span = propagationDelay();
+	const double span = propagationSeconds();
 	const double here = takenRecently(_team, _now);
 	// What all may use before their reports reach each other, if the others have used nothing of it yet.
 	const double all = std::max(0.0, _availability.level) + here + _team.bucket.rate() * span;
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -267,13 +267,13 @@
 	/// The amounts that a decision depends on.
 	struct Availability
 	{
-		bool isolated = false; ///< This gateway goes by its equal share.
+		bool isolated = false; ///< This gateway is limited to its equal share.
 		double level = 0.0;
 		double own = 0.0; ///< What is left of the equal share.
 	};
 
-	/// @returns true if this gateway goes by its equal share, because it has lost contact with most of the others
-	/// or has just started.
+	/// @returns true if this gateway is limited to its equal share, because it has lost contact with most of the
+	/// others or has just started.
 	/// @remarks It then admits no more than its share of the rate and of the burst. The share of the rate that it
 	/// leaves to the others is forgotten after the bucket's history, so without this bound each of 30 of 87
 	/// gateways that were cut off had a whole burst: 14.58 of 11.03 million tokens in 8 s for a team that requests
@@ -286,7 +286,7 @@
 	/// other.
 	bool exceedsFairShare(const Team& _team, const Availability& _availability, double _amount, Micros _now) const;
 	/// @returns the propagation delay in seconds.
-	double propagationDelay() const;
+	double propagationSeconds() const;
 	static QuotaVerdict refusal(const Team& _team, const Availability& _availability, double _amount);
 	/// @returns the time until a request may be tried again at a level.
 	static Micros waitAt(double _level, const Team& _team, double _amount);
--- a/src/coordination/quotaledgergrants.cpp
+++ b/src/coordination/quotaledgergrants.cpp
@@ -23,7 +23,8 @@
 
 double QuotaLedger::unreportedUsageOfOthers(const Team& _team, Micros _now) const
 {
-	return _team.rate.others(m_liveness.lastHeard()) * (kMeanReportAge * propagationDelay() + reportLateness(_now));
+	return _team.rate.others(m_liveness.lastHeard()) *
+		   (kMeanReportAge * propagationSeconds() + reportLateness(_now));
 }
 
 double QuotaLedger::requestsPerSecond(const Team& _team, double _mean)
--- a/tests/collectorfleet.h
+++ b/tests/collectorfleet.h
@@ -339,9 +339,9 @@
 	void receiveQuota(Gateway& _gateway, const QuotaDatagram& _datagram)
 	{
 		const std::string from = std::to_string(_datagram.from);
-		if (const auto* ask = std::get_if<QuotaGrantRequest>(&_datagram.message))
+		if (const auto* request = std::get_if<QuotaGrantRequest>(&_datagram.message))
 		{
-			const QuotaGrantAnswer answer = _gateway.grantor.decide(*ask, from, m_now);
+			const QuotaGrantAnswer answer = _gateway.grantor.decide(*request, from, m_now);
 			_gateway.outbox.push_back({_datagram.to, _datagram.from, answer});
 			++m_grantRequests;
 		}
