--- a/src/coordination/quotaadmission.h
+++ b/src/coordination/quotaadmission.h
@@ -33,7 +33,7 @@
 {
 	std::string host;
 	bool answered = false;
-	Micros span = 0;
+	Micros span = 0; ///< Duration of the backoff.
 };
 
 /// Outcomes of grant requests since this gateway started.
--- a/src/coordination/quotagrantor.h
+++ b/src/coordination/quotagrantor.h
@@ -30,6 +30,7 @@
 	/// Further grant requests a second for each request a second that the team's limit allows. With fewer, what is
 	/// left of the quota would not be requested.
 	static constexpr double kRequestsPerGrant = 2.0;
+	/// Longest hold of a refusal.
 	static constexpr Micros kMaxHold = 2 * kSecond;
 
 	explicit QuotaGrantor(QuotaLedger& _ledger) : m_ledger(_ledger)
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -212,7 +212,7 @@
 	/// @param[in] _confirmedAt Time at which this gateway sent the message that the peer has answered. The report
 	/// is at least as recent.
 	/// @param[in] _gateways Number of gateways that the peer speaks for.
-	void onHeard(const std::string& _peer, Micros _now, Micros _proved, std::size_t _gateways = 1);
+	void onHeard(const std::string& _peer, Micros _now, Micros _confirmedAt, std::size_t _gateways = 1);
 
 	/// Records sums of a collector. Must be called after onReport() for the same message, instead of onHeard().
 	/// @param[in] _group Names the gateways that the sums cover. One collector of each group is followed at a time.
@@ -221,7 +221,7 @@
 	/// one is in no increase, and is estimated from the rate. When it was taken for 0, 13 gateways whose two
 	/// collectors were killed assumed 0.9 s of a team's rate more than 15 others did, and admitted two thirds of
 	/// the usage of all 87 gateways while the team requested three times its limit.
-	void onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _proved,
+	void onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _confirmedAt,
 				std::size_t _gateways);
 
 	/// Records usage of a request that is run again. It is charged whatever is left.
--- a/src/coordination/quotaledgerreports.cpp
+++ b/src/coordination/quotaledgerreports.cpp
@@ -100,19 +100,19 @@
 	return std::exchange(m_gaps, {});
 }
 
-void QuotaLedger::onHeard(const std::string& _peer, Micros _now, Micros _proved, std::size_t _gateways)
+void QuotaLedger::onHeard(const std::string& _peer, Micros _now, Micros _confirmedAt, std::size_t _gateways)
 {
 	onTick(_now);
 	recordGap(_now);
-	m_liveness.onHeard(_peer, _now, _proved, _gateways);
+	m_liveness.onHeard(_peer, _now, _confirmedAt, _gateways);
 }
 
-void QuotaLedger::onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _proved,
+void QuotaLedger::onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _confirmedAt,
 						 std::size_t _gateways)
 {
 	onTick(_now);
 	recordGap(_now);
-	const std::optional<Micros> unreported = m_liveness.onSums(_group, _source, _now, _proved, _gateways);
+	const std::optional<Micros> unreported = m_liveness.onSums(_group, _source, _now, _confirmedAt, _gateways);
 	if (unreported)
 	{
 		const double share = static_cast<double>(_gateways) / static_cast<double>(m_liveness.members());
--- a/src/coordination/tokenbucket.h
+++ b/src/coordination/tokenbucket.h
@@ -67,7 +67,7 @@
 	/// Replaces the recorded usage by an amount that results in the level.
 	void setLevel(double _level, Micros _now);
 
-	/// Records usage that is reported only now but was spread evenly over the time since then.
+	/// Records usage that is reported only now but was spread evenly over the time from _since to _now.
 	/// @remarks If all of it were recorded at the present time, a gateway that had received nothing for 2.5 s would
 	/// treat a team at 0.6 of its limit as over the limit, and refuse it for a second (quotastalltest).
 	void recordSpread(double _amount, Micros _since, Micros _now);
