--- a/src/coordination/controlcore.cpp
+++ b/src/coordination/controlcore.cpp
@@ -118,7 +118,7 @@
 	}
 }
 
-void ControlCore::on(const EntrySilent&)
+void ControlCore::on(const EntryUnreachable&)
 {
 	m_entry.reset();
 }
--- a/src/coordination/controlcore.h
+++ b/src/coordination/controlcore.h
@@ -129,7 +129,7 @@
 };
 
 /// No entry answers beside this control.
-struct EntrySilent
+struct EntryUnreachable
 {
 };
 
@@ -160,7 +160,7 @@
 {
 };
 
-using ControlEvent = std::variant<StoreAnswered, PeerExchange, EntryReported, EntrySilent, OperatorChange,
+using ControlEvent = std::variant<StoreAnswered, PeerExchange, EntryReported, EntryUnreachable, OperatorChange,
 								  VmListArrived, ControlTick>;
 
 /// Read a value.
@@ -296,7 +296,7 @@
 	void on(StoreAnswered& _event);
 	void on(PeerExchange& _event);
 	void on(EntryReported& _event);
-	void on(const EntrySilent& _event);
+	void on(const EntryUnreachable& _event);
 	void on(OperatorChange& _event);
 	void on(VmListArrived& _event);
 	void on(const ControlTick& _event);
--- a/src/daemon/controlapp.cpp
+++ b/src/daemon/controlapp.cpp
@@ -308,7 +308,7 @@
 	const auto node = m_calls.extract(_call);
 	if (!node.empty() && CallKind::EntrySync == node.mapped())
 	{
-		m_queue.submit(EntrySilent{});
+		m_queue.submit(EntryUnreachable{});
 	}
 }
 
