--- a/src/coordination/entryanswers.cpp
+++ b/src/coordination/entryanswers.cpp
@@ -37,7 +37,7 @@
 	KeptAnswer answer;
 	answer.model = true;
 	_request.answer = std::move(answer);
-	conclude(_request, Fate::Done);
+	conclude(_request, ExecutionResult::Done);
 }
 
 void EntryCore::finishPlain(Request& _request, AttemptDone& _event)
@@ -47,7 +47,7 @@
 	answer.contentType = std::move(_event.contentType);
 	answer.body = std::move(_event.body);
 	_request.answer = std::move(answer);
-	conclude(_request, Fate::Done);
+	conclude(_request, ExecutionResult::Done);
 }
 
 void EntryCore::fail(Request& _request, Failure _failure, Outcome _outcome, const std::string& _detail)
@@ -70,7 +70,7 @@
 	}
 	m_stats.notRun += Outcome::NotRun == _outcome ? 1 : 0;
 	m_stats.unknown += Outcome::Unknown == _outcome ? 1 : 0;
-	conclude(_request, Outcome::NotRun == _outcome ? Fate::NotStarted : Fate::Unknown);
+	conclude(_request, Outcome::NotRun == _outcome ? ExecutionResult::NotStarted : ExecutionResult::Unknown);
 }
 
 void EntryCore::refuse(ExchangeId _exchange, Failure _failure, const std::string& _detail, Micros _retryAfter)
@@ -79,14 +79,14 @@
 	m_out->push_back(AnswerFailure{_exchange, _failure, failureInfo(_failure).outcome, _detail, _retryAfter});
 }
 
-void EntryCore::conclude(Request& _request, Fate _fate)
+void EntryCore::conclude(Request& _request, ExecutionResult _result)
 {
 	const bool owns = _request.claimed || _request.handedOver;
 	_request.phase = Phase::Finished;
-	_request.fate = _fate;
+	_request.result = _result;
 	m_active -= 1;
-	m_stats.done += Fate::Done == _fate ? 1 : 0;
-	decide(_request, Fate::Done == _fate ? DecisionKind::Finished : DecisionKind::GivenUp, {}, 0,
+	m_stats.done += ExecutionResult::Done == _result ? 1 : 0;
+	decide(_request, ExecutionResult::Done == _result ? DecisionKind::Finished : DecisionKind::GivenUp, {}, 0,
 		   _request.tokens.size());
 	for (const Subscriber& subscriber : _request.subscribers)
 	{
@@ -102,10 +102,11 @@
 		m_ended.pop_front();
 	}
 	// A repeatable request whose fate is unknown gives its key back: it may run again.
-	const bool givesBack = Fate::NotStarted == _fate || (Fate::Unknown == _fate && _request.repeatable);
+	const bool givesBack =
+		ExecutionResult::NotStarted == _result || (ExecutionResult::Unknown == _result && _request.repeatable);
 	if (_request.claimed)
 	{
-		reportFate(_request, givesBack ? Fate::NotStarted : _fate);
+		reportResult(_request, givesBack ? ExecutionResult::NotStarted : _result);
 	}
 	if (!owns || givesBack)
 	{
@@ -121,7 +122,7 @@
 	{
 		AttachEnd end;
 		end.attach = _subscriber.attach;
-		end.fate = _request.fate;
+		end.result = _request.result;
 		end.kept = _request.answer.has_value();
 		end.tokenCount = _request.tokens.size();
 		if (end.kept)
@@ -131,7 +132,7 @@
 		sendPeer(_subscriber.peer, std::move(end));
 		return;
 	}
-	if (Fate::Done != _request.fate)
+	if (ExecutionResult::Done != _request.result)
 	{
 		return; // fail() has answered.
 	}
--- a/src/coordination/entryclaims.cpp
+++ b/src/coordination/entryclaims.cpp
@@ -116,7 +116,7 @@
 			const Request* owner = findByKey(_message.key);
 			if (nullptr == owner || owner->ask != _message.ask.number)
 			{
-				sendPeer(_from, ClaimUpdate{_message.key, _message.ask, Fate::NotStarted, {}});
+				sendPeer(_from, ClaimUpdate{_message.key, _message.ask, ExecutionResult::NotStarted, {}});
 			}
 		}
 		return;
@@ -219,7 +219,7 @@
 		deliver(_executing);
 		return;
 	}
-	if (Fate::Done != _executing.fate)
+	if (ExecutionResult::Done != _executing.result)
 	{
 		fail(_request, Failure::OutcomeUnknown, Outcome::Unknown, "this key ran and its outcome is not known");
 		return;
@@ -232,7 +232,7 @@
 	_request.answer = _executing.answer;
 	_request.tokens = _executing.tokens;
 	deliver(_request);
-	conclude(_request, Fate::Done);
+	conclude(_request, ExecutionResult::Done);
 }
 
 void EntryCore::onPeer(const EntryRef& _from, ClaimUpdate& _message)
@@ -255,7 +255,7 @@
 	kept->arrived = m_now;
 	kept->digest = m_home.digestOf(_message.key);
 	kept->phase = Phase::Finished;
-	kept->fate = Fate::Done;
+	kept->result = ExecutionResult::Done;
 	for (const std::string& token : _message.answer->tokens)
 	{
 		kept->tokens.append(token);
@@ -299,7 +299,7 @@
 	}
 	if (nullptr == request)
 	{
-		end.fate = Fate::NotStarted;
+		end.result = ExecutionResult::NotStarted;
 		sendPeer(_from, std::move(end));
 		return;
 	}
@@ -348,7 +348,7 @@
 		m_stats.framesDropped += 1;
 		return;
 	}
-	if (Fate::NotStarted == _message.fate)
+	if (ExecutionResult::NotStarted == _message.result)
 	{
 		m_byAttach.erase(request->attach);
 		request->released = request->executor;
@@ -356,7 +356,7 @@
 		askHome(*request);
 		return;
 	}
-	if (Fate::Unknown == _message.fate)
+	if (ExecutionResult::Unknown == _message.result)
 	{
 		fail(*request, Failure::OutcomeUnknown, Outcome::Unknown, "this key ran and its outcome is not known");
 		return;
@@ -371,12 +371,12 @@
 		return; // Tokens were lost; the next try asks for them.
 	}
 	request->answer = std::move(_message.answer);
-	conclude(*request, Fate::Done);
+	conclude(*request, ExecutionResult::Done);
 }
 
-void EntryCore::reportFate(const Request& _request, Fate _fate)
+void EntryCore::reportResult(const Request& _request, ExecutionResult _result)
 {
-	const ClaimUpdate update{_request.key, AskRef{m_settings.self, _request.ask}, _fate, {}};
+	const ClaimUpdate update{_request.key, AskRef{m_settings.self, _request.ask}, _result, {}};
 	const std::shared_ptr<const Roster>& roster = m_home.roster();
 	const RosterMember* home = nullptr == roster ? nullptr : homeOf(_request.key, *roster);
 	m_home.update(update);
@@ -405,7 +405,7 @@
 					request.claimGeneration};
 		if (Phase::Finished == request.phase)
 		{
-			claim.state = Fate::Done == request.fate ? ClaimState::Done : ClaimState::Unknown;
+			claim.state = ExecutionResult::Done == request.result ? ClaimState::Done : ClaimState::Unknown;
 		}
 		claims.push_back(std::move(claim));
 	}
@@ -425,11 +425,11 @@
 	{
 		const Request& request = *m_requests.at(id);
 		const RosterMember* home = homeOf(key, *roster);
-		if (nullptr == home || Fate::Done != request.fate || !request.answer.has_value())
+		if (nullptr == home || ExecutionResult::Done != request.result || !request.answer.has_value())
 		{
 			continue;
 		}
-		ClaimUpdate update{key, AskRef{m_settings.self, request.ask}, Fate::Done, request.answer};
+		ClaimUpdate update{key, AskRef{m_settings.self, request.ask}, ExecutionResult::Done, request.answer};
 		update.answer->tokens = request.tokens.from(0);
 		sendPeer(home->entry, std::move(update));
 	}
--- a/src/coordination/entrycore.h
+++ b/src/coordination/entrycore.h
@@ -143,7 +143,7 @@
 	void deliver(Request& _request);
 	void finishModel(Request& _request);
 	void finishPlain(Request& _request, AttemptDone& _event);
-	void conclude(Request& _request, Fate _fate);
+	void conclude(Request& _request, ExecutionResult _result);
 	void fail(Request& _request, Failure _failure, Outcome _outcome, const std::string& _detail);
 	void refuse(ExchangeId _exchange, Failure _failure, const std::string& _detail, Micros _retryAfter);
 	void subscribe(Request& _request, const Subscriber& _subscriber);
@@ -176,7 +176,7 @@
 	void onHeld(Request& _request, const Claim& _claim);
 	void attachTo(Request& _request, const AskRef& _executor);
 	void joinLocal(Request& _request, Request& _executing);
-	void reportFate(const Request& _request, Fate _fate);
+	void reportResult(const Request& _request, ExecutionResult _result);
 	void adoptRoster(const std::shared_ptr<const Roster>& _roster);
 	std::vector<Claim> executedClaims() const;
 	void handOverAnswers();
--- a/src/coordination/entryhandover.cpp
+++ b/src/coordination/entryhandover.cpp
@@ -59,7 +59,7 @@
 	}
 	// Not executed here: the caller finds it again at any other entry.
 	tellMoved(_request);
-	conclude(_request, Fate::NotStarted);
+	conclude(_request, ExecutionResult::NotStarted);
 }
 
 void EntryCore::tellMoved(const Request& _request)
@@ -175,7 +175,7 @@
 	// The claim is the successor's now; the home hears of that from the successor.
 	request.claimed = false;
 	request.handedOver = false;
-	conclude(request, Fate::NotStarted);
+	conclude(request, ExecutionResult::NotStarted);
 }
 
 } // namespace beacongate
--- a/src/coordination/hometable.cpp
+++ b/src/coordination/hometable.cpp
@@ -146,19 +146,19 @@
 		return;
 	}
 	Kept& kept = known->second;
-	switch (_update.fate)
+	switch (_update.result)
 	{
-	case Fate::NotStarted:
+	case ExecutionResult::NotStarted:
 		kept.claim.state = ClaimState::Released;
 		if (!kept.shared)
 		{
 			m_claims.erase(known);
 		}
 		break;
-	case Fate::Done:
+	case ExecutionResult::Done:
 		kept.claim.state = ClaimState::Done;
 		break;
-	case Fate::Unknown:
+	case ExecutionResult::Unknown:
 		kept.claim.state = ClaimState::Unknown;
 		break;
 	}
--- a/src/coordination/peermessages.h
+++ b/src/coordination/peermessages.h
@@ -93,7 +93,7 @@
 };
 
 /// What became of a granted key, as its executor says.
-enum class Fate
+enum class ExecutionResult
 {
 	NotStarted, ///< It was not sent and never will be under this grant, or it may be repeated.
 	Done,
@@ -105,7 +105,7 @@
 {
 	std::string key;
 	AskRef executor;
-	Fate fate = Fate::Unknown;
+	ExecutionResult result = ExecutionResult::Unknown;
 	std::optional<KeptAnswer> answer;
 };
 
@@ -144,7 +144,7 @@
 struct AttachEnd
 {
 	std::uint64_t attach = 0;
-	Fate fate = Fate::Unknown;
+	ExecutionResult result = ExecutionResult::Unknown;
 	bool kept = false; ///< Whether `answer` holds the answer (plain) or the tokens were sent (model).
 	KeptAnswer answer;
 	std::uint64_t tokenCount = 0; ///< All tokens of a model's answer, to detect a lost message.
--- a/src/coordination/request.h
+++ b/src/coordination/request.h
@@ -111,7 +111,7 @@
 
 	TokenLog tokens;
 	std::vector<Subscriber> subscribers;
-	Fate fate = Fate::Unknown; ///< Finished: how.
+	ExecutionResult result = ExecutionResult::Unknown; ///< Finished: how.
 	std::optional<KeptAnswer> answer;
 	std::vector<Decision> decisions;
 };
--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -132,7 +132,7 @@
 
 Json encodeMessage(const ClaimUpdate& _m)
 {
-	Json json{{"t", "update"}, {"k", _m.key}, {"x", encode(_m.executor)}, {"f", static_cast<int>(_m.fate)}};
+	Json json{{"t", "update"}, {"k", _m.key}, {"x", encode(_m.executor)}, {"f", static_cast<int>(_m.result)}};
 	if (_m.answer)
 	{
 		json["a"] = encode(*_m.answer);
@@ -167,7 +167,7 @@
 
 Json encodeMessage(const AttachEnd& _m)
 {
-	return {{"t", "end"},      {"n", _m.attach},         {"f", static_cast<int>(_m.fate)},
+	return {{"t", "end"},      {"n", _m.attach},         {"f", static_cast<int>(_m.result)},
 			{"kept", _m.kept}, {"a", encode(_m.answer)}, {"c", _m.tokenCount}};
 }
 
@@ -257,7 +257,7 @@
 	ClaimUpdate update;
 	update.key = _json.at("k").get<std::string>();
 	update.executor = decodeAsk(_json.at("x"));
-	update.fate = decodeEnum(_json.at("f"), Fate::Unknown);
+	update.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	if (_json.contains("a"))
 	{
 		update.answer = decodeAnswer(_json.at("a"));
@@ -299,7 +299,7 @@
 {
 	AttachEnd end;
 	end.attach = _json.at("n").get<std::uint64_t>();
-	end.fate = decodeEnum(_json.at("f"), Fate::Unknown);
+	end.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	end.kept = _json.at("kept").get<bool>();
 	end.answer = decodeAnswer(_json.at("a"));
 	end.tokenCount = _json.at("c").get<std::uint64_t>();
--- a/tests/hometabletest.cpp
+++ b/tests/hometabletest.cpp
@@ -129,7 +129,7 @@
 	c.adopt(shared(three), {}, 0);
 	a.ask(askOf("x", 1, key), 0);
 	carry(a.adopt(shared(two), {}, 0), "a", "b", b);
-	b.update(ClaimUpdate{key, AskRef{entry("x"), 1}, Fate::NotStarted, {}});
+	b.update(ClaimUpdate{key, AskRef{entry("x"), 1}, ExecutionResult::NotStarted, {}});
 	ASSERT_EQ(ClaimVerdict::Granted, b.ask(askOf("y", 1, key), 0).verdict) << "given back, so free";
 	// Both orders of the two seals have to end with the newer claim.
 	HomeTable d = c;
