--- a/src/coordination/controlcore.h
+++ b/src/coordination/controlcore.h
@@ -136,8 +136,8 @@
 /// An operator wants a change.
 struct OperatorChange
 {
-	std::uint64_t ask = 0; ///< Number for the answer.
-	std::string changeId;  ///< Unique; found again in the document's history.
+	std::uint64_t requestNumber = 0; ///< Number for the answer.
+	std::string changeId;            ///< Unique; found again in the document's history.
 	std::string statement;
 };
 
@@ -212,7 +212,7 @@
 /// Tell an operator the end of a change.
 struct AnswerOperator
 {
-	std::uint64_t ask = 0;
+	std::uint64_t requestNumber = 0;
 	bool ok = false;
 	Failure failure = Failure::Internal;
 	std::string detail;
--- a/src/coordination/controlstore.cpp
+++ b/src/coordination/controlstore.cpp
@@ -425,7 +425,7 @@
 void ControlCore::answerChange(bool _ok, Failure _failure, const std::string& _detail)
 {
 	AnswerOperator answer;
-	answer.ask = m_changes.front().request.ask;
+	answer.requestNumber = m_changes.front().request.requestNumber;
 	answer.ok = _ok;
 	answer.failure = _failure;
 	answer.detail = _detail;
--- a/src/coordination/entryanswers.cpp
+++ b/src/coordination/entryanswers.cpp
@@ -94,7 +94,7 @@
 		m_byExchange.erase(subscriber.exchange);
 	}
 	_request.subscribers.clear();
-	m_byAsk.erase(_request.ask);
+	m_byClaimNumber.erase(_request.claimNumber);
 	m_byAttach.erase(_request.attach);
 	m_ended.emplace_back(_request.id, _request.decisions);
 	if (m_ended.size() > limits::kExplainedRequests)
--- a/src/coordination/entryclaims.cpp
+++ b/src/coordination/entryclaims.cpp
@@ -23,21 +23,21 @@
 	std::visit([&](auto& _message) { onPeer(_event.from, _message); }, _event.message);
 }
 
-void EntryCore::askHome(Request& _request)
+void EntryCore::requestClaim(Request& _request)
 {
 	_request.phase = Phase::AwaitClaim;
-	m_byAsk.erase(_request.ask);
-	_request.ask = m_nextAsk++;
-	m_byAsk.emplace(_request.ask, _request.id);
+	m_byClaimNumber.erase(_request.claimNumber);
+	_request.claimNumber = m_nextClaimNumber++;
+	m_byClaimNumber.emplace(_request.claimNumber, _request.id);
 	if (m_byKey.size() >= limits::kClaims)
 	{
-		giveUpAsking(_request, Failure::ClaimsFull);
+		abandonClaim(_request, Failure::ClaimsFull);
 		return;
 	}
-	retryAsk(_request);
+	resendPeerRequest(_request);
 }
 
-void EntryCore::retryAsk(Request& _request)
+void EntryCore::resendPeerRequest(Request& _request)
 {
 	if (Phase::Attached == _request.phase)
 	{
@@ -47,7 +47,7 @@
 			return;
 		}
 		const std::uint64_t next = _request.tokens.size();
-		sendPeer(_request.executor.entry, AttachAsk{_request.attach, _request.key, _request.executor, next});
+		sendPeer(_request.executor.entry, AttachRequest{_request.attach, _request.key, _request.executor, next});
 		_request.nextTry = m_now + kAttachRetry;
 		m_tries.emplace(_request.nextTry, _request.id);
 		return;
@@ -58,7 +58,7 @@
 	}
 	if (m_now >= _request.patience)
 	{
-		giveUpAsking(_request, Failure::HomeUnreachable);
+		abandonClaim(_request, Failure::HomeUnreachable);
 		return;
 	}
 	_request.nextTry = m_now + kAskRetry;
@@ -69,26 +69,26 @@
 	{
 		return;
 	}
-	ClaimAsk ask;
-	ask.ask = AskRef{m_settings.self, _request.ask};
-	ask.key = _request.key;
-	ask.digest = _request.digest;
-	ask.rosterVersion = roster->version;
-	ask.issuedVersion = _request.issuedVersion;
-	ask.released = _request.released;
+	ClaimRequest claimRequest;
+	claimRequest.requestRef = ClaimRequestRef{m_settings.self, _request.claimNumber};
+	claimRequest.key = _request.key;
+	claimRequest.digest = _request.digest;
+	claimRequest.rosterVersion = roster->version;
+	claimRequest.issuedVersion = _request.issuedVersion;
+	claimRequest.released = _request.released;
 	decide(_request, DecisionKind::AskedHome, home->entry.id);
 	if (home->entry == m_settings.self)
 	{
-		ClaimReply reply = m_home.ask(ask, m_now);
+		ClaimReply reply = m_home.onClaimRequest(claimRequest, m_now);
 		onPeer(m_settings.self, reply);
 		return;
 	}
-	sendPeer(home->entry, std::move(ask));
+	sendPeer(home->entry, std::move(claimRequest));
 }
 
-void EntryCore::giveUpAsking(Request& _request, Failure _failure)
+void EntryCore::abandonClaim(Request& _request, Failure _failure)
 {
-	m_byAsk.erase(_request.ask);
+	m_byClaimNumber.erase(_request.claimNumber);
 	if (_request.repeatable)
 	{
 		// The claim only saves work here; the request may run without it.
@@ -100,23 +100,23 @@
 		 suspect ? "an entry that was lost may have run this key" : "the home of this key did not grant it");
 }
 
-void EntryCore::onPeer(const EntryRef& _from, ClaimAsk& _message)
+void EntryCore::onPeer(const EntryRef& _from, ClaimRequest& _message)
 {
-	sendPeer(_from, m_home.ask(_message, m_now));
+	sendPeer(_from, m_home.onClaimRequest(_message, m_now));
 }
 
 void EntryCore::onPeer(const EntryRef& _from, ClaimReply& _message)
 {
-	const auto it = m_byAsk.find(_message.ask.number);
-	if (m_byAsk.end() == it || _message.ask.entry != m_settings.self)
+	const auto it = m_byClaimNumber.find(_message.requestRef.number);
+	if (m_byClaimNumber.end() == it || _message.requestRef.entry != m_settings.self)
 	{
 		// The ask was given up: nothing will start under it, so the grant goes back.
-		if (ClaimVerdict::Granted == _message.verdict && _message.ask.entry == m_settings.self)
+		if (ClaimVerdict::Granted == _message.verdict && _message.requestRef.entry == m_settings.self)
 		{
 			const Request* owner = findByKey(_message.key);
-			if (nullptr == owner || owner->ask != _message.ask.number)
+			if (nullptr == owner || owner->claimNumber != _message.requestRef.number)
 			{
-				sendPeer(_from, ClaimUpdate{_message.key, _message.ask, ExecutionResult::NotStarted, {}});
+				sendPeer(_from, ClaimUpdate{_message.key, _message.requestRef, ExecutionResult::NotStarted, {}});
 			}
 		}
 		return;
@@ -125,7 +125,7 @@
 	switch (_message.verdict)
 	{
 	case ClaimVerdict::Granted:
-		m_byAsk.erase(it);
+		m_byClaimNumber.erase(it);
 		request.claimed = true;
 		request.claimGeneration = _message.claim.generation;
 		request.nextTry = kNever;
@@ -137,10 +137,10 @@
 		onHeld(request, _message.claim);
 		return;
 	case ClaimVerdict::Suspect:
-		giveUpAsking(request, Failure::OutcomeUnknown);
+		abandonClaim(request, Failure::OutcomeUnknown);
 		return;
 	case ClaimVerdict::Full:
-		giveUpAsking(request, Failure::ClaimsFull);
+		abandonClaim(request, Failure::ClaimsFull);
 		return;
 	case ClaimVerdict::Mismatch:
 		fail(request, Failure::KeyReused, Outcome::NotRun, "the key was used for another request");
@@ -155,24 +155,24 @@
 {
 	if (ClaimState::Unknown == _claim.state)
 	{
-		giveUpAsking(_request, Failure::OutcomeUnknown);
+		abandonClaim(_request, Failure::OutcomeUnknown);
 		return;
 	}
 	if (_claim.executor.entry == m_settings.self)
 	{
 		Request* executing = findByKey(_request.key);
-		if (nullptr != executing && executing->ask == _claim.executor.number)
+		if (nullptr != executing && executing->claimNumber == _claim.executor.number)
 		{
 			joinLocal(_request, *executing);
 			return;
 		}
-		const auto waiting = m_byAsk.find(_claim.executor.number);
-		if (m_byAsk.end() != waiting && waiting->second != _request.id)
+		const auto waiting = m_byClaimNumber.find(_claim.executor.number);
+		if (m_byClaimNumber.end() != waiting && waiting->second != _request.id)
 		{
 			return; // The other ask of this entry has been granted; its reply is under way.
 		}
 		_request.released = _claim.executor;
-		askHome(_request);
+		requestClaim(_request);
 		return;
 	}
 	const std::shared_ptr<const Roster>& roster = m_home.roster();
@@ -180,22 +180,22 @@
 	{
 		const bool done = ClaimState::Done == _claim.state;
 		const Failure failure = done ? Failure::AnswerNotKept : Failure::OutcomeUnknown;
-		giveUpAsking(_request, failure);
+		abandonClaim(_request, failure);
 		return;
 	}
 	attachTo(_request, _claim.executor);
 }
 
-void EntryCore::attachTo(Request& _request, const AskRef& _executor)
+void EntryCore::attachTo(Request& _request, const ClaimRequestRef& _executor)
 {
-	m_byAsk.erase(_request.ask);
+	m_byClaimNumber.erase(_request.claimNumber);
 	_request.phase = Phase::Attached;
 	_request.executor = _executor;
 	_request.attach = m_nextAttach++;
 	_request.patience = std::min(_request.deadline, m_now + limits::kClaimPatience);
 	m_byAttach.emplace(_request.attach, _request.id);
 	decide(_request, DecisionKind::AttachedTo, _executor.entry.id);
-	retryAsk(_request);
+	resendPeerRequest(_request);
 }
 
 void EntryCore::joinLocal(Request& _request, Request& _executing)
@@ -213,7 +213,7 @@
 			subscribe(_executing, subscriber);
 		}
 		_request.subscribers.clear();
-		m_byAsk.erase(_request.ask);
+		m_byClaimNumber.erase(_request.claimNumber);
 		m_active -= 1;
 		erase(_request);
 		deliver(_executing);
@@ -242,7 +242,7 @@
 	{
 		return;
 	}
-	const AskRef own{m_settings.self, m_nextAsk++};
+	const ClaimRequestRef own{m_settings.self, m_nextClaimNumber++};
 	if (!m_home.reassign(_message.key, _message.executor, own))
 	{
 		return;
@@ -250,7 +250,7 @@
 	auto kept = std::make_unique<Request>();
 	kept->id = kHandedOverBit | own.number;
 	kept->key = _message.key;
-	kept->ask = own.number;
+	kept->claimNumber = own.number;
 	kept->claimed = true;
 	kept->arrived = m_now;
 	kept->digest = m_home.digestOf(_message.key);
@@ -282,7 +282,7 @@
 	m_home.sealAcked(_from, _message.version);
 }
 
-void EntryCore::onPeer(const EntryRef& _from, AttachAsk& _message)
+void EntryCore::onPeer(const EntryRef& _from, AttachRequest& _message)
 {
 	AttachEnd end;
 	end.attach = _message.attach;
@@ -292,10 +292,10 @@
 		return;
 	}
 	Request* request = findByKey(_message.key);
-	if (nullptr == request || request->ask != _message.executor.number)
+	if (nullptr == request || request->claimNumber != _message.executor.number)
 	{
-		const auto waiting = m_byAsk.find(_message.executor.number);
-		request = m_byAsk.end() == waiting ? nullptr : m_requests.at(waiting->second).get();
+		const auto waiting = m_byClaimNumber.find(_message.executor.number);
+		request = m_byClaimNumber.end() == waiting ? nullptr : m_requests.at(waiting->second).get();
 	}
 	if (nullptr == request)
 	{
@@ -353,7 +353,7 @@
 		m_byAttach.erase(request->attach);
 		request->released = request->executor;
 		request->patience = std::min(request->deadline, m_now + limits::kClaimPatience);
-		askHome(*request);
+		requestClaim(*request);
 		return;
 	}
 	if (ExecutionResult::Unknown == _message.result)
@@ -376,7 +376,7 @@
 
 void EntryCore::reportResult(const Request& _request, ExecutionResult _result)
 {
-	const ClaimUpdate update{_request.key, AskRef{m_settings.self, _request.ask}, _result, {}};
+	const ClaimUpdate update{_request.key, ClaimRequestRef{m_settings.self, _request.claimNumber}, _result, {}};
 	const std::shared_ptr<const Roster>& roster = m_home.roster();
 	const RosterMember* home = nullptr == roster ? nullptr : homeOf(_request.key, *roster);
 	m_home.update(update);
@@ -401,7 +401,7 @@
 	for (const auto& [key, id] : m_byKey)
 	{
 		const Request& request = *m_requests.at(id);
-		Claim claim{key, request.digest, AskRef{m_settings.self, request.ask}, ClaimState::Granted,
+		Claim claim{key, request.digest, ClaimRequestRef{m_settings.self, request.claimNumber}, ClaimState::Granted,
 					request.claimGeneration};
 		if (Phase::Finished == request.phase)
 		{
@@ -429,7 +429,8 @@
 		{
 			continue;
 		}
-		ClaimUpdate update{key, AskRef{m_settings.self, request.ask}, ExecutionResult::Done, request.answer};
+		ClaimUpdate update{key, ClaimRequestRef{m_settings.self, request.claimNumber}, ExecutionResult::Done,
+						   request.answer};
 		update.answer->tokens = request.tokens.from(0);
 		sendPeer(home->entry, std::move(update));
 	}
--- a/src/coordination/entrycore.cpp
+++ b/src/coordination/entrycore.cpp
@@ -103,7 +103,7 @@
 		const auto it = m_requests.find(id);
 		if (m_requests.end() != it && it->second->nextTry == due)
 		{
-			retryAsk(*it->second);
+			resendPeerRequest(*it->second);
 		}
 	}
 	if (m_now >= m_nextSealTry)
--- a/src/coordination/entrycore.h
+++ b/src/coordination/entrycore.h
@@ -156,15 +156,15 @@
 	ServiceState& stateOf(ServiceHandle _service);
 
 	// entryclaims.cpp
-	void askHome(Request& _request);
-	void retryAsk(Request& _request);
-	void giveUpAsking(Request& _request, Failure _failure);
-	void onPeer(const EntryRef& _from, ClaimAsk& _message);
+	void requestClaim(Request& _request);
+	void resendPeerRequest(Request& _request);
+	void abandonClaim(Request& _request, Failure _failure);
+	void onPeer(const EntryRef& _from, ClaimRequest& _message);
 	void onPeer(const EntryRef& _from, ClaimReply& _message);
 	void onPeer(const EntryRef& _from, ClaimUpdate& _message);
 	void onPeer(const EntryRef& _from, Seal& _message);
 	void onPeer(const EntryRef& _from, SealAck& _message);
-	void onPeer(const EntryRef& _from, AttachAsk& _message);
+	void onPeer(const EntryRef& _from, AttachRequest& _message);
 	void onPeer(const EntryRef& _from, AttachTokens& _message);
 	void onPeer(const EntryRef& _from, AttachEnd& _message);
 	void onPeer(const EntryRef& _from, RequestHandover& _message);
@@ -174,7 +174,7 @@
 	void offerRequest(Request& _request);
 	void tellMoved(const Request& _request);
 	void onHeld(Request& _request, const Claim& _claim);
-	void attachTo(Request& _request, const AskRef& _executor);
+	void attachTo(Request& _request, const ClaimRequestRef& _executor);
 	void joinLocal(Request& _request, Request& _executing);
 	void reportResult(const Request& _request, ExecutionResult _result);
 	void adoptRoster(const std::shared_ptr<const Roster>& _roster);
@@ -201,9 +201,9 @@
 
 	std::unordered_map<RequestId, std::unique_ptr<Request>> m_requests;
 	std::unordered_map<AttemptId, RequestId> m_attempts;
-	std::unordered_map<std::string, RequestId> m_byKey;      ///< Keyed requests executed here.
-	std::unordered_map<std::uint64_t, RequestId> m_byAsk;    ///< Asks that wait for an answer.
-	std::unordered_map<std::uint64_t, RequestId> m_byAttach; ///< Attachments to other entries.
+	std::unordered_map<std::string, RequestId> m_byKey;           ///< Keyed requests executed here.
+	std::unordered_map<std::uint64_t, RequestId> m_byClaimNumber; ///< Asks that wait for an answer.
+	std::unordered_map<std::uint64_t, RequestId> m_byAttach;      ///< Attachments to other entries.
 	std::unordered_map<ExchangeId, RequestId> m_byExchange;
 	std::deque<RequestId> m_keptOrder;
 	std::size_t m_keptBytes = 0;
@@ -213,7 +213,7 @@
 	std::deque<std::pair<RequestId, std::vector<Decision>>> m_ended;
 
 	AttemptId m_nextAttempt = 1;
-	std::uint64_t m_nextAsk = 1;
+	std::uint64_t m_nextClaimNumber = 1;
 	std::uint64_t m_nextAttach = 1;
 	Micros m_nextSealTry = 0;
 	Micros m_sealSpan = limits::kSealRetry;
--- a/src/coordination/entryhandover.cpp
+++ b/src/coordination/entryhandover.cpp
@@ -103,7 +103,7 @@
 	handover.callerKey = _request.callerKey;
 	if (_request.claimed)
 	{
-		handover.released = AskRef{m_settings.self, _request.ask};
+		handover.released = ClaimRequestRef{m_settings.self, _request.claimNumber};
 	}
 	handover.payload = *_request.payload;
 	handover.tokens = _request.tokens.from(0);
@@ -121,7 +121,7 @@
 		return;
 	}
 	CallerRequest event;
-	event.exchange = kHandedOverBit | m_nextAsk++;
+	event.exchange = kHandedOverBit | m_nextClaimNumber++;
 	event.service = _message.service;
 	event.payload = std::make_shared<const CallPayload>(std::move(_message.payload));
 	event.key = _message.callerKey;
@@ -152,7 +152,7 @@
 	}
 	decide(request, DecisionKind::Accepted, _from.id, 0, request.tokens.size());
 	sendPeer(_from, HandoverAck{_message.number});
-	askHome(request);
+	requestClaim(request);
 }
 
 void EntryCore::onPeer(const EntryRef& _from, HandoverAck& _message)
--- a/src/coordination/entryrequests.cpp
+++ b/src/coordination/entryrequests.cpp
@@ -74,7 +74,7 @@
 		joinLocal(request, *executing);
 		return;
 	}
-	askHome(request);
+	requestClaim(request);
 }
 
 std::unique_ptr<Request> EntryCore::makeRequest(const CallerRequest& _event, TeamHandle _team,
--- a/src/coordination/hometable.cpp
+++ b/src/coordination/hometable.cpp
@@ -66,31 +66,31 @@
 	return unconfirmedSeals();
 }
 
-ClaimReply HomeTable::ask(const ClaimAsk& _ask, Micros _now)
+ClaimReply HomeTable::onClaimRequest(const ClaimRequest& _request, Micros _now)
 {
 	ClaimReply reply;
-	reply.ask = _ask.ask;
-	reply.key = _ask.key;
+	reply.requestRef = _request.requestRef;
+	reply.key = _request.key;
 	reply.rosterVersion = m_epochs.empty() ? 0 : m_epochs.back().roster->version;
-	if (m_epochs.empty() || _ask.issuedVersion > reply.rosterVersion)
+	if (m_epochs.empty() || _request.issuedVersion > reply.rosterVersion)
 	{
 		reply.verdict = ClaimVerdict::NotReady;
 		return reply;
 	}
-	if (!isHome(_ask.key, *m_epochs.back().roster))
+	if (!isHome(_request.key, *m_epochs.back().roster))
 	{
 		reply.verdict = ClaimVerdict::NotHome;
 		return reply;
 	}
-	if (!isEstablished(_ask.key))
+	if (!isEstablished(_request.key))
 	{
 		reply.verdict = ClaimVerdict::NotReady;
 		return reply;
 	}
-	const auto known = m_claims.find(_ask.key);
+	const auto known = m_claims.find(_request.key);
 	if (m_claims.end() == known)
 	{
-		if (isSuspect(_ask))
+		if (isSuspect(_request))
 		{
 			reply.verdict = ClaimVerdict::Suspect;
 			return reply;
@@ -100,39 +100,39 @@
 			reply.verdict = ClaimVerdict::Full;
 			return reply;
 		}
-		return grant(_ask, reply, 0, _now);
+		return grant(_request, reply, 0, _now);
 	}
 	const Claim& claim = known->second.claim;
 	reply.claim = claim;
-	if (claim.digest != _ask.digest)
+	if (claim.digest != _request.digest)
 	{
 		reply.verdict = ClaimVerdict::Mismatch;
 		return reply;
 	}
-	if (!isFree(claim, _ask))
+	if (!isFree(claim, _request))
 	{
-		const bool again = claim.executor == _ask.ask && ClaimState::Granted == claim.state;
+		const bool again = claim.executor == _request.requestRef && ClaimState::Granted == claim.state;
 		reply.verdict = again ? ClaimVerdict::Granted : ClaimVerdict::Held;
 		return reply;
 	}
-	if (isSuspect(_ask))
+	if (isSuspect(_request))
 	{
 		// A copy of a claim may be older than a grant that a lost home made since.
 		reply.verdict = ClaimVerdict::Suspect;
 		return reply;
 	}
-	return grant(_ask, reply, claim.generation + 1, _now);
+	return grant(_request, reply, claim.generation + 1, _now);
 }
 
-ClaimReply HomeTable::grant(const ClaimAsk& _ask, ClaimReply _reply, std::uint64_t _generation, Micros _now)
+ClaimReply HomeTable::grant(const ClaimRequest& _request, ClaimReply _reply, std::uint64_t _generation, Micros _now)
 {
-	const auto [it, added] = m_claims.try_emplace(_ask.key);
+	const auto [it, added] = m_claims.try_emplace(_request.key);
 	if (added)
 	{
-		m_expiry.emplace_back(_now + limits::kClaimWindow, _ask.key);
+		m_expiry.emplace_back(_now + limits::kClaimWindow, _request.key);
 	}
 	Kept& kept = it->second;
-	kept.claim = Claim{_ask.key, _ask.digest, _ask.ask, ClaimState::Granted, _generation};
+	kept.claim = Claim{_request.key, _request.digest, _request.requestRef, ClaimState::Granted, _generation};
 	_reply.claim = kept.claim;
 	_reply.verdict = ClaimVerdict::Granted;
 	return _reply;
@@ -164,7 +164,7 @@
 	}
 }
 
-bool HomeTable::reassign(const std::string& _key, const AskRef& _old, const AskRef& _new)
+bool HomeTable::reassign(const std::string& _key, const ClaimRequestRef& _old, const ClaimRequestRef& _new)
 {
 	const auto known = m_claims.find(_key);
 	if (m_claims.end() == known || known->second.claim.executor != _old)
@@ -338,14 +338,14 @@
 	return false;
 }
 
-bool HomeTable::isSuspect(const ClaimAsk& _ask) const
+bool HomeTable::isSuspect(const ClaimRequest& _request) const
 {
 	const Roster& roster = *m_epochs.back().roster;
 	for (const LostMember& lost : roster.lost)
 	{
-		const bool issuedAfter = _ask.issuedVersion >= lost.lostVersion;
-		if (!issuedAfter && mayHaveBeenHome(_ask.key, lost, roster) &&
-			!isOwnedSinceBefore(_ask.key, lost.lostVersion))
+		const bool issuedAfter = _request.issuedVersion >= lost.lostVersion;
+		if (!issuedAfter && mayHaveBeenHome(_request.key, lost, roster) &&
+			!isOwnedSinceBefore(_request.key, lost.lostVersion))
 		{
 			return true;
 		}
@@ -353,13 +353,13 @@
 	return false;
 }
 
-bool HomeTable::isFree(const Claim& _claim, const ClaimAsk& _ask)
+bool HomeTable::isFree(const Claim& _claim, const ClaimRequest& _request)
 {
 	if (ClaimState::Released == _claim.state)
 	{
 		return true;
 	}
-	const bool vouched = _ask.released.has_value() && *_ask.released == _claim.executor;
+	const bool vouched = _request.released.has_value() && *_request.released == _claim.executor;
 	return vouched && ClaimState::Granted == _claim.state;
 }
 
--- a/src/coordination/hometable.h
+++ b/src/coordination/hometable.h
@@ -50,7 +50,7 @@
 
 	/// Decides an ask.
 	/// @param[in] _now Starts the window after which the key may be forgotten.
-	ClaimReply ask(const ClaimAsk& _ask, Micros _now);
+	ClaimReply onClaimRequest(const ClaimRequest& _request, Micros _now);
 
 	/// Takes over what an executor says of its grant.
 	/// @remarks Where this entry is not the home any more, the claim it keeps is still mended.
@@ -71,7 +71,7 @@
 
 	/// Makes this entry the executor of a key whose answer it took over.
 	/// @returns whether the claim was the old executor's.
-	bool reassign(const std::string& _key, const AskRef& _old, const AskRef& _new);
+	bool reassign(const std::string& _key, const ClaimRequestRef& _old, const ClaimRequestRef& _new);
 
 	/// @returns whether all living entries have sealed the version in force to this one.
 	bool complete() const;
@@ -104,14 +104,14 @@
 		bool shared = false; ///< Another entry may hold a copy, so that it must not be forgotten.
 	};
 
-	ClaimReply grant(const ClaimAsk& _ask, ClaimReply _reply, std::uint64_t _generation, Micros _now);
+	ClaimReply grant(const ClaimRequest& _request, ClaimReply _reply, std::uint64_t _generation, Micros _now);
 	void markShared();
 	void markLostExecutors(); ///< Claims granted to lost runs can learn no more and turn unknown.
 	bool isHome(std::string_view _key, const Roster& _roster) const;
 	bool isEstablished(std::string_view _key) const;
 	bool isOwnedSinceBefore(std::string_view _key, std::uint64_t _version) const;
-	bool isSuspect(const ClaimAsk& _ask) const;
-	static bool isFree(const Claim& _claim, const ClaimAsk& _ask);
+	bool isSuspect(const ClaimRequest& _request) const;
+	static bool isFree(const Claim& _claim, const ClaimRequest& _request);
 	void take(const Claim& _claim, Micros _now);
 	void checkComplete();
 
--- a/src/coordination/peermessages.h
+++ b/src/coordination/peermessages.h
@@ -22,12 +22,12 @@
 namespace beacongate
 {
 /// Names one ask of one run of an entry; never used twice.
-struct AskRef
+struct ClaimRequestRef
 {
 	EntryRef entry;
 	std::uint64_t number = 0;
-	auto operator<=>(const AskRef&) const = default;
-	bool operator==(const AskRef&) const = default;
+	auto operator<=>(const ClaimRequestRef&) const = default;
+	bool operator==(const ClaimRequestRef&) const = default;
 };
 
 /// How far a claimed key has come, as its home knows it.
@@ -44,7 +44,7 @@
 {
 	std::string key;
 	std::uint64_t digest = 0; ///< Hash of the request, to refuse another request under the same key.
-	AskRef executor;
+	ClaimRequestRef executor;
 	ClaimState state = ClaimState::Granted;
 	std::uint64_t generation = 0; ///< Grows with each new grant of the key; a copy with a larger one is newer.
 };
@@ -60,17 +60,17 @@
 };
 
 /// Asker to home: may I run this key?
-struct ClaimAsk
+struct ClaimRequest
 {
-	AskRef ask;
+	ClaimRequestRef requestRef;
 	std::string key;
 	std::uint64_t digest = 0;
 	std::uint64_t rosterVersion = 0;
 	std::uint64_t issuedVersion = 0;
-	std::optional<AskRef> released; ///< An earlier grant whose holder said that it never started.
+	std::optional<ClaimRequestRef> released; ///< An earlier grant whose holder said that it never started.
 };
 
-/// Home's answer to a ClaimAsk.
+/// Home's answer to a ClaimRequest.
 enum class ClaimVerdict
 {
 	Granted,  ///< Run it.
@@ -85,7 +85,7 @@
 /// Home to asker.
 struct ClaimReply
 {
-	AskRef ask;
+	ClaimRequestRef requestRef;
 	std::string key;
 	ClaimVerdict verdict = ClaimVerdict::NotReady;
 	Claim claim;
@@ -104,7 +104,7 @@
 struct ClaimUpdate
 {
 	std::string key;
-	AskRef executor;
+	ClaimRequestRef executor;
 	ExecutionResult result = ExecutionResult::Unknown;
 	std::optional<KeptAnswer> answer;
 };
@@ -124,11 +124,11 @@
 };
 
 /// Asker to executor: send me the answer from this token on.
-struct AttachAsk
+struct AttachRequest
 {
 	std::uint64_t attach = 0;
 	std::string key;
-	AskRef executor;
+	ClaimRequestRef executor;
 	std::uint64_t offset = 0;
 };
 
@@ -156,8 +156,8 @@
 	std::uint64_t number = 0; ///< The sender's, to confirm it and to know it again.
 	std::string team;
 	std::string service;
-	std::string callerKey;          ///< Idempotency key under which the caller finds it.
-	std::optional<AskRef> released; ///< The sender's grant, where it had one.
+	std::string callerKey;                   ///< Idempotency key under which the caller finds it.
+	std::optional<ClaimRequestRef> released; ///< The sender's grant, where it had one.
 	CallPayload payload;
 	std::vector<std::string> tokens; ///< Delivered so far.
 	int priority = 0;
@@ -170,7 +170,7 @@
 	std::uint64_t number = 0;
 };
 
-using PeerMessage = std::variant<ClaimAsk, ClaimReply, ClaimUpdate, Seal, SealAck, AttachAsk, AttachTokens,
+using PeerMessage = std::variant<ClaimRequest, ClaimReply, ClaimUpdate, Seal, SealAck, AttachRequest, AttachTokens,
 								 AttachEnd, RequestHandover, HandoverAck>;
 
 } // namespace beacongate
--- a/src/coordination/request.h
+++ b/src/coordination/request.h
@@ -89,17 +89,17 @@
 	BlockChain chain;
 
 	Phase phase = Phase::Queued;
-	std::uint64_t ask = 0; ///< Number of the ask under which it may run, 0 for none.
+	std::uint64_t claimNumber = 0; ///< Number of the ask under which it may run, 0 for none.
 	bool claimed = false;
 	bool handedOver = false; ///< Another entry gave it to this one.
 	std::string callerKey;   ///< Key under which its caller can come back.
 	std::uint64_t claimGeneration = 0;
-	std::optional<AskRef> released; ///< Grant that its holder gave back, to be named in the next ask.
-	Micros patience = 0;            ///< Until when the home is asked again.
-	Micros nextTry = kNever;        ///< When an unanswered ask or attachment is sent again.
-	Micros handoverNext = 0;        ///< Stopping: when it is offered to another entry next.
-	AskRef executor;                ///< Attached: whose answer it is.
-	std::uint64_t attach = 0;       ///< Attached: number of the attachment.
+	std::optional<ClaimRequestRef> released; ///< Grant that its holder gave back, to be named in the next ask.
+	Micros patience = 0;                     ///< Until when the home is asked again.
+	Micros nextTry = kNever;                 ///< When an unanswered ask or attachment is sent again.
+	Micros handoverNext = 0;                 ///< Stopping: when it is offered to another entry next.
+	ClaimRequestRef executor;                ///< Attached: whose answer it is.
+	std::uint64_t attach = 0;                ///< Attached: number of the attachment.
 
 	AttemptId attempt = 0;
 	BackendHandle backend;
--- a/src/daemon/controlapp.cpp
+++ b/src/daemon/controlapp.cpp
@@ -166,7 +166,7 @@
 		if (const AnswerOperator* answer = std::get_if<AnswerOperator>(&action))
 		{
 			const std::lock_guard lock(m_changesMutex);
-			m_changes[answer->ask] = *answer;
+			m_changes[answer->requestNumber] = *answer;
 			continue;
 		}
 		m_toLoop.push(std::move(action));
@@ -389,15 +389,15 @@
 	change.changeId = readMember<std::string>(json, "id", "change", Failure::MalformedRequest);
 	{
 		const std::lock_guard lock(m_changesMutex);
-		change.ask = m_nextChange++;
-		m_changes.emplace(change.ask, std::nullopt);
+		change.requestNumber = m_nextChange++;
+		m_changes.emplace(change.requestNumber, std::nullopt);
 		while (m_changes.size() > kChangesKept)
 		{
 			m_changes.erase(m_changes.begin());
 		}
 	}
 	logEvent(LogLevel::Info, "change", {{"id", change.changeId}, {"statement", change.statement.substr(0, 200)}});
-	std::string number = std::to_string(change.ask);
+	std::string number = std::to_string(change.requestNumber);
 	if (!m_queue.submit(std::move(change)))
 	{
 		throw Error(Failure::Overloaded, "the decision thread has too much to do");
--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -21,14 +21,14 @@
 	return EntryRef{_json.at(0).get<std::string>(), _json.at(1).get<std::uint64_t>()};
 }
 
-Json encode(const AskRef& _ask)
+Json encode(const ClaimRequestRef& _ask)
 {
 	return Json::array({_ask.entry.id, _ask.entry.incarnation, _ask.number});
 }
 
-AskRef decodeAsk(const Json& _json)
+ClaimRequestRef decodeAsk(const Json& _json)
 {
-	return AskRef{decodeEntry(_json), _json.at(2).get<std::uint64_t>()};
+	return ClaimRequestRef{decodeEntry(_json), _json.at(2).get<std::uint64_t>()};
 }
 
 template <typename Enum> Enum decodeEnum(const Json& _json, Enum _last)
@@ -113,10 +113,10 @@
 	return answer;
 }
 
-Json encodeMessage(const ClaimAsk& _m)
+Json encodeMessage(const ClaimRequest& _m)
 {
-	Json json{{"t", "ask"},     {"ask", encode(_m.ask)}, {"k", _m.key},
-			  {"d", _m.digest}, {"v", _m.rosterVersion}, {"i", _m.issuedVersion}};
+	Json json{{"t", "ask"},     {"ask", encode(_m.requestRef)}, {"k", _m.key},
+			  {"d", _m.digest}, {"v", _m.rosterVersion},        {"i", _m.issuedVersion}};
 	if (_m.released)
 	{
 		json["r"] = encode(*_m.released);
@@ -126,7 +126,8 @@
 
 Json encodeMessage(const ClaimReply& _m)
 {
-	return {{"t", "reply"},          {"ask", encode(_m.ask)}, {"k", _m.key}, {"w", static_cast<int>(_m.verdict)},
+	return {{"t", "reply"},          {"ask", encode(_m.requestRef)},
+			{"k", _m.key},           {"w", static_cast<int>(_m.verdict)},
 			{"c", encode(_m.claim)}, {"v", _m.rosterVersion}};
 }
 
@@ -155,7 +156,7 @@
 	return {{"t", "sealed"}, {"v", _m.version}};
 }
 
-Json encodeMessage(const AttachAsk& _m)
+Json encodeMessage(const AttachRequest& _m)
 {
 	return {{"t", "attach"}, {"n", _m.attach}, {"k", _m.key}, {"x", encode(_m.executor)}, {"o", _m.offset}};
 }
@@ -226,25 +227,25 @@
 	return handover;
 }
 
-ClaimAsk decodeClaimAsk(const Json& _json)
+ClaimRequest decodeClaimAsk(const Json& _json)
 {
-	ClaimAsk ask;
-	ask.ask = decodeAsk(_json.at("ask"));
-	ask.key = _json.at("k").get<std::string>();
-	ask.digest = _json.at("d").get<std::uint64_t>();
-	ask.rosterVersion = _json.at("v").get<std::uint64_t>();
-	ask.issuedVersion = _json.at("i").get<std::uint64_t>();
+	ClaimRequest request;
+	request.requestRef = decodeAsk(_json.at("ask"));
+	request.key = _json.at("k").get<std::string>();
+	request.digest = _json.at("d").get<std::uint64_t>();
+	request.rosterVersion = _json.at("v").get<std::uint64_t>();
+	request.issuedVersion = _json.at("i").get<std::uint64_t>();
 	if (_json.contains("r"))
 	{
-		ask.released = decodeAsk(_json.at("r"));
+		request.released = decodeAsk(_json.at("r"));
 	}
-	return ask;
+	return request;
 }
 
 ClaimReply decodeClaimReply(const Json& _json)
 {
 	ClaimReply reply;
-	reply.ask = decodeAsk(_json.at("ask"));
+	reply.requestRef = decodeAsk(_json.at("ask"));
 	reply.key = _json.at("k").get<std::string>();
 	reply.verdict = decodeEnum(_json.at("w"), ClaimVerdict::Mismatch);
 	reply.claim = decodeClaim(_json.at("c"));
@@ -276,14 +277,14 @@
 	return seal;
 }
 
-AttachAsk decodeAttachAsk(const Json& _json)
+AttachRequest decodeAttachAsk(const Json& _json)
 {
-	AttachAsk ask;
-	ask.attach = _json.at("n").get<std::uint64_t>();
-	ask.key = _json.at("k").get<std::string>();
-	ask.executor = decodeAsk(_json.at("x"));
-	ask.offset = _json.at("o").get<std::uint64_t>();
-	return ask;
+	AttachRequest request;
+	request.attach = _json.at("n").get<std::uint64_t>();
+	request.key = _json.at("k").get<std::string>();
+	request.executor = decodeAsk(_json.at("x"));
+	request.offset = _json.at("o").get<std::uint64_t>();
+	return request;
 }
 
 AttachTokens decodeAttachTokens(const Json& _json)
--- a/tests/controltest.cpp
+++ b/tests/controltest.cpp
@@ -178,7 +178,7 @@
 		}
 		else if (const AnswerOperator* answer = std::get_if<AnswerOperator>(&_action))
 		{
-			answers[answer->ask] = *answer;
+			answers[answer->requestNumber] = *answer;
 		}
 		else if (std::holds_alternative<ReadVmList>(_action))
 		{
--- a/tests/hometabletest.cpp
+++ b/tests/hometabletest.cpp
@@ -62,13 +62,14 @@
 	return {};
 }
 
-ClaimAsk askOf(const std::string& _asker, std::uint64_t _number, const std::string& _key, std::uint64_t _issued = 0)
-{
-	ClaimAsk ask;
-	ask.ask = AskRef{entry(_asker), _number};
-	ask.key = _key;
-	ask.issuedVersion = _issued;
-	return ask;
+ClaimRequest requestOf(const std::string& _asker, std::uint64_t _number, const std::string& _key,
+					   std::uint64_t _issued = 0)
+{
+	ClaimRequest request;
+	request.requestRef = ClaimRequestRef{entry(_asker), _number};
+	request.key = _key;
+	request.issuedVersion = _issued;
+	return request;
 }
 
 /// Carries the seals of one table to another.
@@ -89,9 +90,10 @@
 {
 	HomeTable home(entry("a"));
 	home.adopt(shared(rosterOf({"a"})), {}, 0);
-	EXPECT_EQ(ClaimVerdict::Granted, home.ask(askOf("b", 1, "k"), 0).verdict);
-	EXPECT_EQ(ClaimVerdict::Granted, home.ask(askOf("b", 1, "k"), 0).verdict) << "the same ask again";
-	const ClaimReply other = home.ask(askOf("c", 1, "k"), 0);
+	EXPECT_EQ(ClaimVerdict::Granted, home.onClaimRequest(requestOf("b", 1, "k"), 0).verdict);
+	EXPECT_EQ(ClaimVerdict::Granted, home.onClaimRequest(requestOf("b", 1, "k"), 0).verdict)
+		<< "the same ask again";
+	const ClaimReply other = home.onClaimRequest(requestOf("c", 1, "k"), 0);
 	EXPECT_EQ(ClaimVerdict::Held, other.verdict);
 	EXPECT_EQ(entry("b"), other.claim.executor.entry);
 }
@@ -105,11 +107,11 @@
 	HomeTable b(entry("b"));
 	a.adopt(shared(one), {}, 0);
 	b.adopt(shared(two), {}, 0);
-	EXPECT_EQ(ClaimVerdict::Granted, a.ask(askOf("x", 1, key), 0).verdict);
-	EXPECT_EQ(ClaimVerdict::NotReady, b.ask(askOf("y", 1, key), 0).verdict);
+	EXPECT_EQ(ClaimVerdict::Granted, a.onClaimRequest(requestOf("x", 1, key), 0).verdict);
+	EXPECT_EQ(ClaimVerdict::NotReady, b.onClaimRequest(requestOf("y", 1, key), 0).verdict);
 	carry(a.adopt(shared(two), {}, 0), "a", "b", b);
-	EXPECT_EQ(ClaimVerdict::NotHome, a.ask(askOf("z", 1, key), 0).verdict);
-	const ClaimReply reply = b.ask(askOf("y", 1, key), 0);
+	EXPECT_EQ(ClaimVerdict::NotHome, a.onClaimRequest(requestOf("z", 1, key), 0).verdict);
+	const ClaimReply reply = b.onClaimRequest(requestOf("y", 1, key), 0);
 	EXPECT_EQ(ClaimVerdict::Held, reply.verdict);
 	EXPECT_EQ(entry("x"), reply.claim.executor.entry);
 }
@@ -127,10 +129,10 @@
 	a.adopt(shared(one), {}, 0);
 	b.adopt(shared(two), {}, 0);
 	c.adopt(shared(three), {}, 0);
-	a.ask(askOf("x", 1, key), 0);
+	a.onClaimRequest(requestOf("x", 1, key), 0);
 	carry(a.adopt(shared(two), {}, 0), "a", "b", b);
-	b.update(ClaimUpdate{key, AskRef{entry("x"), 1}, ExecutionResult::NotStarted, {}});
-	ASSERT_EQ(ClaimVerdict::Granted, b.ask(askOf("y", 1, key), 0).verdict) << "given back, so free";
+	b.update(ClaimUpdate{key, ClaimRequestRef{entry("x"), 1}, ExecutionResult::NotStarted, {}});
+	ASSERT_EQ(ClaimVerdict::Granted, b.onClaimRequest(requestOf("y", 1, key), 0).verdict) << "given back, so free";
 	// Both orders of the two seals have to end with the newer claim.
 	HomeTable d = c;
 	const std::vector<Addressed> fromA = a.adopt(shared(three), {}, 0);
@@ -141,9 +143,9 @@
 	carry(fromA, "a", "c", d);
 	for (HomeTable* table : {&c, &d})
 	{
-		ClaimAsk ask = askOf("z", 1, key);
-		ask.released = AskRef{entry("x"), 1}; // True, and of no use: y holds the key now.
-		const ClaimReply reply = table->ask(ask, 0);
+		ClaimRequest request = requestOf("z", 1, key);
+		request.released = ClaimRequestRef{entry("x"), 1}; // True, and of no use: y holds the key now.
+		const ClaimReply reply = table->onClaimRequest(request, 0);
 		EXPECT_EQ(ClaimVerdict::Held, reply.verdict);
 		EXPECT_EQ(entry("y"), reply.claim.executor.entry);
 	}
@@ -158,14 +160,14 @@
 	const std::string key = keyWithHomes({{one, "a"}, {two, "b"}, {three, "a"}});
 	HomeTable a(entry("a"));
 	a.adopt(shared(one), {}, 0);
-	a.ask(askOf("x", 1, key), 0);
+	a.onClaimRequest(requestOf("x", 1, key), 0);
 	a.adopt(shared(two), {}, 0);
 	a.adopt(shared(three), {}, 0);
-	ClaimAsk ask = askOf("z", 1, key, one.version);
-	ask.released = AskRef{entry("x"), 1};
-	EXPECT_EQ(ClaimVerdict::Suspect, a.ask(ask, 0).verdict);
+	ClaimRequest request = requestOf("z", 1, key, one.version);
+	request.released = ClaimRequestRef{entry("x"), 1};
+	EXPECT_EQ(ClaimVerdict::Suspect, a.onClaimRequest(request, 0).verdict);
 	const std::string young = keyWithHomes({{two, "b"}, {three, "a"}});
-	EXPECT_EQ(ClaimVerdict::Granted, a.ask(askOf("z", 2, young + "-new", three.version), 0).verdict);
+	EXPECT_EQ(ClaimVerdict::Granted, a.onClaimRequest(requestOf("z", 2, young + "-new", three.version), 0).verdict);
 }
 
 TEST(HomeTable, aKeyFromBeforeTheLossIsSuspectAndOneFromAfterIsNot)
@@ -175,22 +177,22 @@
 	const std::string key = keyWithHomes({{two, "b"}});
 	HomeTable a(entry("a"));
 	a.adopt(shared(three), {}, 0);
-	EXPECT_EQ(ClaimVerdict::Suspect, a.ask(askOf("x", 1, key, two.version), 0).verdict);
-	EXPECT_EQ(ClaimVerdict::Granted, a.ask(askOf("x", 2, key, three.version), 0).verdict);
+	EXPECT_EQ(ClaimVerdict::Suspect, a.onClaimRequest(requestOf("x", 1, key, two.version), 0).verdict);
+	EXPECT_EQ(ClaimVerdict::Granted, a.onClaimRequest(requestOf("x", 2, key, three.version), 0).verdict);
 }
 
 TEST(HomeTable, aHomeBehindTheKeysVersionDoesNotGrantIt)
 {
 	HomeTable woken(entry("b"));
 	woken.adopt(shared(rosterOf({"b"})), {}, 0);
-	EXPECT_EQ(ClaimVerdict::NotReady, woken.ask(askOf("x", 1, "k", 7), 0).verdict);
+	EXPECT_EQ(ClaimVerdict::NotReady, woken.onClaimRequest(requestOf("x", 1, "k", 7), 0).verdict);
 }
 
 TEST(HomeTable, keysAreForgottenAfterTheClaimWindow)
 {
 	HomeTable home(entry("a"));
 	home.adopt(shared(rosterOf({"a"})), {}, 0);
-	home.ask(askOf("b", 1, "k"), 0);
+	home.onClaimRequest(requestOf("b", 1, "k"), 0);
 	home.expire(limits::kClaimWindow - 1);
 	EXPECT_EQ(1u, home.size());
 	home.expire(limits::kClaimWindow);
--- a/tests/protocoltest.cpp
+++ b/tests/protocoltest.cpp
@@ -61,7 +61,7 @@
 	handover.number = 7;
 	handover.payload.body = _body;
 	handover.tokens = _tokens;
-	handover.released = AskRef{EntryRef{"e1", 5}, 9};
+	handover.released = ClaimRequestRef{EntryRef{"e1", 5}, 9};
 	AttachEnd end;
 	end.kept = true;
 	end.answer.body = _body;
--- a/tools/bench.cpp
+++ b/tools/bench.cpp
@@ -337,7 +337,7 @@
 		for (std::size_t ii = 0; ii < claims; ++ii)
 		{
 			executed.push_back(
-				Claim{"team/service/key-" + std::to_string(ii), 1, AskRef{roster->members[0].entry, ii}});
+				Claim{"team/service/key-" + std::to_string(ii), 1, ClaimRequestRef{roster->members[0].entry, ii}});
 		}
 		auto next = std::make_shared<Roster>(*roster);
 		sealing.push_back({static_cast<double>(claims), microsOf(
