--- a/include/beacongate/limits.h
+++ b/include/beacongate/limits.h
@@ -33,7 +33,7 @@
 inline constexpr Micros kDefaultDeadline = 120 * kSecond;     ///< Where the caller gives none.
 inline constexpr Micros kMaxDeadline = kSecond * 3600;        ///< Largest deadline that is taken.
 inline constexpr Micros kPeerCallTimeout = 1 * kSecond;       ///< Deadline of a message between entries.
-inline constexpr Micros kClaimPatience = 3 * kSecond;         ///< How long a key's home is asked again.
+inline constexpr Micros kClaimTimeout = 3 * kSecond;          ///< How long a key's home is asked again.
 inline constexpr Micros kSealRetry =
 	200 * kMillisecond; ///< Until an unanswered seal is sent again, doubled each time.
 inline constexpr Micros kSealRetryMax = 10 * kSecond;         ///< Largest such span.
--- a/src/coordination/entryclaims.cpp
+++ b/src/coordination/entryclaims.cpp
@@ -192,7 +192,7 @@
 	_request.phase = Phase::Attached;
 	_request.executor = _executor;
 	_request.attach = m_nextAttach++;
-	_request.patience = std::min(_request.deadline, m_now + limits::kClaimPatience);
+	_request.patience = std::min(_request.deadline, m_now + limits::kClaimTimeout);
 	m_byAttach.emplace(_request.attach, _request.id);
 	decide(_request, DecisionKind::AttachedTo, _executor.entry.id);
 	resendPeerRequest(_request);
@@ -327,7 +327,7 @@
 		m_stats.framesDropped += 1;
 		return;
 	}
-	request->patience = std::min(request->deadline, m_now + limits::kClaimPatience);
+	request->patience = std::min(request->deadline, m_now + limits::kClaimTimeout);
 	const std::uint64_t known = request->tokens.size();
 	if (_message.offset > known)
 	{
@@ -352,7 +352,7 @@
 	{
 		m_byAttach.erase(request->attach);
 		request->released = request->executor;
-		request->patience = std::min(request->deadline, m_now + limits::kClaimPatience);
+		request->patience = std::min(request->deadline, m_now + limits::kClaimTimeout);
 		requestClaim(*request);
 		return;
 	}
--- a/src/coordination/entryrequests.cpp
+++ b/src/coordination/entryrequests.cpp
@@ -91,7 +91,7 @@
 	request->deadline = m_now + std::min(span, limits::kMaxDeadline);
 	request->priority = _event.priority;
 	request->repeatable = m_catalog.at(_service).config.repeatable;
-	request->patience = std::min(request->deadline, m_now + limits::kClaimPatience);
+	request->patience = std::min(request->deadline, m_now + limits::kClaimTimeout);
 	request->callerKey = _event.key.empty() ? requestName(m_settings.self, _event.exchange) : _event.key;
 	request->digest = digestOf(*_event.payload);
 	measure(*request);
