--- a/src/coordination/entryrequests.cpp
+++ b/src/coordination/entryrequests.cpp
@@ -369,7 +369,7 @@
 	Backend& backend = m_backends.at(_backend);
 	const unsigned doublings = std::min(backend.failures, kRefuseDoublings);
 	backend.failures += 1;
-	backend.refusedUntil = m_now + (kRefuseBase << doublings);
+	backend.backoffUntil = m_now + (kRefuseBase << doublings);
 }
 
 void EntryCore::moveOff(BackendHandle _backend)
--- a/src/protocol/statedump.cpp
+++ b/src/protocol/statedump.cpp
@@ -79,7 +79,7 @@
 	{
 		return "drained";
 	}
-	return _now < _backend.refusedUntil ? "failing" : "ready";
+	return _now < _backend.backoffUntil ? "failing" : "ready";
 }
 
 Json backendRows(const EntryCore& _core, Micros _now)
--- a/src/state/backends.cpp
+++ b/src/state/backends.cpp
@@ -29,7 +29,7 @@
 			row.gone = false;
 			row.leavesAt = kNever;
 			row.failures = 0;
-			row.refusedUntil = 0;
+			row.backoffUntil = 0;
 			row.prefixes = PrefixIndex{};
 		}
 		row.config = item;
@@ -91,7 +91,7 @@
 
 bool BackendTable::takesWork(const Backend& _backend, Micros _now)
 {
-	return _backend.configured && !_backend.config.drained && !_backend.leaving && _now >= _backend.refusedUntil;
+	return _backend.configured && !_backend.config.drained && !_backend.leaving && _now >= _backend.backoffUntil;
 }
 
 } // namespace beacongate
--- a/src/state/backends.h
+++ b/src/state/backends.h
@@ -34,7 +34,7 @@
 	bool leaving = false;            ///< Gets no new work, for ever.
 	bool gone = false;               ///< Its VM ended; nothing on it will answer.
 	Micros leavesAt = kNever;        ///< When its notice ends.
-	Micros refusedUntil = 0;         ///< Not tried before this time after a failure.
+	Micros backoffUntil = 0;         ///< Not tried before this time after a failure.
 	std::uint32_t failures = 0;      ///< Consecutive failed attempts.
 	std::uint32_t active = 0;        ///< Attempts this entry has running on it.
 	std::uint64_t prefillTokens = 0; ///< Prompt tokens sent whose first token has not come.
