--- a/src/coordination/peertable.cpp
+++ b/src/coordination/peertable.cpp
@@ -101,7 +101,7 @@
 	return it == m_peers.end() ? 0 : it->second.newestStamp;
 }
 
-bool PeerTable::isYoung(const std::string& _host, Micros _span) const
+bool PeerTable::startedWithin(const std::string& _host, Micros _span) const
 {
 	const auto it = m_peers.find(_host);
 	return it != m_peers.end() && it->second.uptime < _span;
--- a/src/coordination/peertable.h
+++ b/src/coordination/peertable.h
@@ -64,7 +64,7 @@
 	Micros echoFor(const std::string& _host) const;
 
 	/// @returns whether a host says that it has started within a span.
-	bool isYoung(const std::string& _host, Micros _span) const;
+	bool startedWithin(const std::string& _host, Micros _span) const;
 
 	/// @returns the gateways there may be, this one included.
 	std::size_t memberCount(Micros _now) const;
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -285,7 +285,7 @@
 
 std::vector<QuotaLevel> Gossiper::levelsFor(const std::string& _host, Micros _now) const
 {
-	const bool young = m_context.peers.isYoung(_host, QuotaLedger::kSettling);
+	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kSettling);
 	return young ? m_context.quotas.levelsToTell(_now) : std::vector<QuotaLevel>();
 }
 
