--- a/src/coordination/peertable.cpp
+++ b/src/coordination/peertable.cpp
@@ -82,7 +82,7 @@
 	return {hosts.begin(), hosts.end()};
 }
 
-std::vector<std::string> PeerTable::heardHosts(Micros _now) const
+std::vector<std::string> PeerTable::liveHosts(Micros _now) const
 {
 	std::vector<std::string> hosts;
 	for (const auto& [host, peer] : m_peers)
@@ -110,7 +110,7 @@
 std::size_t PeerTable::memberCount(Micros _now) const
 {
 	std::set<std::string> hosts = m_registered;
-	for (const std::string& host : heardHosts(_now))
+	for (const std::string& host : liveHosts(_now))
 	{
 		hosts.insert(host);
 	}
--- a/src/coordination/peertable.h
+++ b/src/coordination/peertable.h
@@ -58,7 +58,7 @@
 	std::vector<std::string> targets(Micros _now) const;
 
 	/// @returns hosts that were heard of late.
-	std::vector<std::string> heardHosts(Micros _now) const;
+	std::vector<std::string> liveHosts(Micros _now) const;
 
 	/// @returns what is to be echoed to a host.
 	Micros echoFor(const std::string& _host) const;
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -264,7 +264,7 @@
 	const std::vector<std::string> targets =
 		GossipPlan::targets(std::move(known), holder, limits::kGossipPeers, m_context.random);
 	GossipMessage whole = describe(_now);
-	whole.members = m_context.peers.heardHosts(_now);
+	whole.members = m_context.peers.liveHosts(_now);
 	for (const std::string& host : targets)
 	{
 		GossipMessage message = whole;
