--- a/src/coordination/peertable.cpp
+++ b/src/coordination/peertable.cpp
@@ -117,7 +117,7 @@
 	return hosts.size() + 1;
 }
 
-std::optional<std::string> PeerTable::freshestAfter(Micros _moment, Micros _now) const
+std::optional<std::string> PeerTable::newestConfigHost(Micros _moment, Micros _now) const
 {
 	std::optional<std::string> best;
 	Micros newest = _moment;
--- a/src/coordination/peertable.h
+++ b/src/coordination/peertable.h
@@ -70,7 +70,7 @@
 	std::size_t memberCount(Micros _now) const;
 
 	/// @returns the host whose configuration was confirmed last, if that is later than a moment.
-	std::optional<std::string> freshestAfter(Micros _moment, Micros _now) const;
+	std::optional<std::string> newestConfigHost(Micros _moment, Micros _now) const;
 
 	/// @returns all peers by host.
 	const std::map<std::string, Peer>& peers() const
--- a/src/gateway/storesyncpeers.cpp
+++ b/src/gateway/storesyncpeers.cpp
@@ -36,7 +36,7 @@
 		schedulePeers();
 		return;
 	}
-	std::optional<std::string> host = m_context.peers.freshestAfter(m_context.content.confirmed, now);
+	std::optional<std::string> host = m_context.peers.newestConfigHost(m_context.content.confirmed, now);
 	if (!host && !m_context.directory.config() && !m_context.settings.seeds.empty())
 	{
 		host = m_context.settings.seeds[m_context.random() % m_context.settings.seeds.size()].host;
--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -133,10 +133,10 @@
 	message.echo = 10 * kSecond;
 	message.configAge = 100 * kMillisecond;
 	EXPECT_TRUE(peers.onMessage(message, 10 * kSecond + 200 * kMillisecond));
-	EXPECT_TRUE(peers.freshestAfter(9 * kSecond, 10 * kSecond + 200 * kMillisecond));
+	EXPECT_TRUE(peers.newestConfigHost(9 * kSecond, 10 * kSecond + 200 * kMillisecond));
 	message.echo = 11 * kSecond;
 	EXPECT_FALSE(peers.onMessage(message, 16 * kSecond));
-	EXPECT_FALSE(peers.freshestAfter(9 * kSecond, 16 * kSecond));
+	EXPECT_FALSE(peers.newestConfigHost(9 * kSecond, 16 * kSecond));
 }
 
 TEST(PeerTable, aPeersWordIsAsOldAsTheStampItEchoes)
