--- a/src/coordination/peertable.cpp
+++ b/src/coordination/peertable.cpp
@@ -67,14 +67,14 @@
 	hosts.insert(m_registered.begin(), m_registered.end());
 	for (const auto& [host, when] : m_mentioned)
 	{
-		if (_now - when <= kMemory)
+		if (_now - when <= kMemberTimeout)
 		{
 			hosts.insert(host);
 		}
 	}
 	for (const auto& [host, peer] : m_peers)
 	{
-		if (_now - peer.heard <= kMemory || peer.heard == kLongAgo)
+		if (_now - peer.heard <= kMemberTimeout || peer.heard == kLongAgo)
 		{
 			hosts.insert(host);
 		}
@@ -87,7 +87,7 @@
 	std::vector<std::string> hosts;
 	for (const auto& [host, peer] : m_peers)
 	{
-		if (_now - peer.heard <= kMemory)
+		if (_now - peer.heard <= kMemberTimeout)
 		{
 			hosts.push_back(host);
 		}
--- a/src/coordination/peertable.h
+++ b/src/coordination/peertable.h
@@ -37,7 +37,7 @@
 	/// A message is new for sure if it echoes something that was sent within this span.
 	static constexpr Micros kFresh = 1 * kSecond;
 	/// A peer that nobody has heard for longer is not counted as a member.
-	static constexpr Micros kMemory = 12 * kSecond;
+	static constexpr Micros kMemberTimeout = 12 * kSecond;
 
 	/// @param[in] ownHost Never taken for a peer.
 	explicit PeerTable(std::string _ownHost) : m_ownHost(std::move(_ownHost))
