--- a/src/coordination/hometable.cpp
+++ b/src/coordination/hometable.cpp
@@ -47,7 +47,7 @@
 	m_acksMissing.clear();
 	if (nullptr != _roster->findRun(m_self))
 	{
-		for (const EntryRef& entry : _roster->living())
+		for (const EntryRef& entry : _roster->liveEntries())
 		{
 			if (entry != m_self)
 			{
--- a/src/state/roster.cpp
+++ b/src/state/roster.cpp
@@ -75,7 +75,7 @@
 	return nullptr;
 }
 
-std::vector<EntryRef> Roster::living() const
+std::vector<EntryRef> Roster::liveEntries() const
 {
 	std::vector<EntryRef> refs;
 	refs.reserve(members.size() + departed.size());
--- a/src/state/roster.h
+++ b/src/state/roster.h
@@ -58,7 +58,7 @@
 	const RosterMember* findRun(const EntryRef& _entry) const;
 
 	/// @returns every run whose seal a new home needs: members and departed members.
-	std::vector<EntryRef> living() const;
+	std::vector<EntryRef> liveEntries() const;
 };
 
 /// Finds the home of a key by rendezvous hashing (highest random weight, xxHash64).
