--- a/src/coordination/events.h
+++ b/src/coordination/events.h
@@ -62,10 +62,10 @@
 /// How an attempt failed.
 enum class AttemptFault
 {
-	NotSent, ///< No byte can have reached the backend server.
-	Fenced,  ///< The backend server answered that it has not taken the request.
-	Refused, ///< The backend server answered with an error that a retry does not mend.
-	Broken,  ///< The connection or the stream ended early, or the answer made no sense.
+	NotSent,     ///< No byte can have reached the backend server.
+	NotAccepted, ///< The backend server answered that it has not taken the request.
+	Refused,     ///< The backend server answered with an error that a retry does not mend.
+	Broken,      ///< The connection or the stream ended early, or the answer made no sense.
 };
 
 /// An attempt ended without a whole answer.
--- a/src/daemon/backendside.cpp
+++ b/src/daemon/backendside.cpp
@@ -162,7 +162,7 @@
 	}
 	if (!findHeader(_answer.headers, kNotTaken).empty())
 	{
-		fail(_id, AttemptFault::Fenced);
+		fail(_id, AttemptFault::NotAccepted);
 		return;
 	}
 	const Attempt& attempt = it->second;
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -25,7 +25,7 @@
 	Answer,      ///< It runs and answers.
 	RunThenLose, ///< It runs and the answer is lost.
 	NotSent,     ///< The connection was refused.
-	Fenced,      ///< The backend server did not take it.
+	NotAccepted, ///< The backend server did not take it.
 	Token,       ///< Model: one more token.
 };
 
@@ -329,7 +329,7 @@
 		}
 		AttemptFault fault = AttemptFault::Broken;
 		fault = Ending::NotSent == _ending ? AttemptFault::NotSent : fault;
-		fault = Ending::Fenced == _ending ? AttemptFault::Fenced : fault;
+		fault = Ending::NotAccepted == _ending ? AttemptFault::NotAccepted : fault;
 		reply(ended, AttemptFailed{ended.start.attempt, fault, 0, ""});
 	}
 
