--- a/tests/buildstest.cpp
+++ b/tests/buildstest.cpp
@@ -76,7 +76,7 @@
 
 TEST(Builds, aDatagramOfFormat6IsReadInFull)
 {
-	const auto message = decodeGossip(golden("gossip-6"));
+	const auto message = decodeGossip(readGoldenDatagram("gossip-6"));
 	expectAll(message);
 	ASSERT_TRUE(message);
 	EXPECT_TRUE(message->levels.empty()); // It knows none: a gateway that starts goes by its own part.
@@ -84,7 +84,7 @@
 
 TEST(Builds, aDatagramOfFormat7IsReadInFull)
 {
-	const auto message = decodeGossip(golden("gossip-7"));
+	const auto message = decodeGossip(readGoldenDatagram("gossip-7"));
 	expectAll(message);
 	ASSERT_TRUE(message);
 	ASSERT_EQ(message->levels.size(), 1u);
@@ -94,16 +94,16 @@
 TEST(Builds, whatIsSentIsWhatTheBuildBeforeReads)
 {
 	// It takes a datagram only with its own number and as many fields as it knows.
-	const auto message = decodeGossip(golden("gossip-7"));
+	const auto message = decodeGossip(readGoldenDatagram("gossip-7"));
 	ASSERT_TRUE(message);
-	EXPECT_EQ(encodeGossip(*message), golden("gossip-7"));
+	EXPECT_EQ(encodeGossip(*message), readGoldenDatagram("gossip-7"));
 	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage())).size(), kFieldsOf7);
 	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage()))[0], 7);
 }
 
 TEST(Builds, aLaterFormatWithFieldsThatAreNotKnownIsReadAsFarAsItIsKnown)
 {
-	Json fields = fieldsOf(golden("gossip-7"));
+	Json fields = fieldsOf(readGoldenDatagram("gossip-7"));
 	fields[0] = 8;
 	expectAll(decodeGossip(bytesOf(fields)));
 	fields.push_back("news");
@@ -114,7 +114,7 @@
 
 TEST(Builds, whatIsNoFormatThatIsReadIsRefused)
 {
-	Json fields = fieldsOf(golden("gossip-7"));
+	Json fields = fieldsOf(readGoldenDatagram("gossip-7"));
 	for (const Json& format : {Json(5), Json(0), Json(-1), Json("7"), Json(7.5), Json(nullptr), Json(1e300)})
 	{
 		fields[0] = format;
@@ -129,7 +129,7 @@
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
-		Json fields = fieldsOf(golden(name));
+		Json fields = fieldsOf(readGoldenDatagram(name));
 		fields.erase(fields.size() - 1);
 		EXPECT_FALSE(decodeGossip(bytesOf(fields))) << name;
 	}
@@ -148,7 +148,7 @@
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
-		const std::string whole = golden(name);
+		const std::string whole = readGoldenDatagram(name);
 		std::string changed = whole;
 		changed[place % changed.size()] = static_cast<char>(byte);
 		decodeGossip(changed);
@@ -160,7 +160,7 @@
 
 RC_GTEST_PROP(Builds, fieldsThatAreSwappedNeverGiveAMessageByHalves, (std::uint8_t one, std::uint8_t other))
 {
-	Json fields = fieldsOf(golden("gossip-7"));
+	Json fields = fieldsOf(readGoldenDatagram("gossip-7"));
 	std::swap(fields[one % fields.size()], fields[other % fields.size()]);
 	const auto message = decodeGossip(bytesOf(fields));
 	if (message)
--- a/tests/golden.h
+++ b/tests/golden.h
@@ -14,7 +14,7 @@
 namespace beacongate::test
 {
 /// @returns the bytes of a datagram, by its name in tests/golden.
-inline std::string golden(const std::string& _name)
+inline std::string readGoldenDatagram(const std::string& _name)
 {
 	std::ifstream stream(std::string(BEACONGATE_TESTS) + "/golden/" + _name + ".hex");
 	std::string digits;
--- a/tests/quotacodectest.cpp
+++ b/tests/quotacodectest.cpp
@@ -34,12 +34,12 @@
 
 TEST(QuotaCodec, readsWhatBuildsOfBeforeSend)
 {
-	expectSame(golden("quota-ask-7"), kAsk);
-	expectSame(golden("quota-answer-7"), kAnswer);
-	expectSame(golden("quota-return-7"), kReturn);
-	EXPECT_EQ(encodeQuota(kAsk), golden("quota-ask-7"));
-	EXPECT_EQ(encodeQuota(kAnswer), golden("quota-answer-7"));
-	EXPECT_EQ(encodeQuota(kReturn), golden("quota-return-7"));
+	expectSame(readGoldenDatagram("quota-ask-7"), kAsk);
+	expectSame(readGoldenDatagram("quota-answer-7"), kAnswer);
+	expectSame(readGoldenDatagram("quota-return-7"), kReturn);
+	EXPECT_EQ(encodeQuota(kAsk), readGoldenDatagram("quota-ask-7"));
+	EXPECT_EQ(encodeQuota(kAnswer), readGoldenDatagram("quota-answer-7"));
+	EXPECT_EQ(encodeQuota(kReturn), readGoldenDatagram("quota-return-7"));
 }
 
 TEST(QuotaCodec, keepsAllFields)
@@ -61,8 +61,8 @@
 	EXPECT_FALSE(decodeGossip(encodeQuota(kAsk)));
 	EXPECT_FALSE(decodeGossip(encodeQuota(kAnswer)));
 	EXPECT_FALSE(isQuotaDatagram(encodeGossip(GossipMessage())));
-	EXPECT_FALSE(isQuotaDatagram(golden("gossip-6")));
-	EXPECT_FALSE(isQuotaDatagram(golden("gossip-7")));
+	EXPECT_FALSE(isQuotaDatagram(readGoldenDatagram("gossip-6")));
+	EXPECT_FALSE(isQuotaDatagram(readGoldenDatagram("gossip-7")));
 }
 
 TEST(QuotaCodec, passesOverFieldsOfALaterFormat)
