--- a/src/coordination/kvtypes.h
+++ b/src/coordination/kvtypes.h
@@ -37,15 +37,15 @@
 struct KvPage
 {
 	std::vector<KvItem> items;
-	bool more = false;
+	bool more = false;          ///< More items follow this page.
 	std::uint64_t revision = 0; ///< Revision of the store.
 };
 
 /// Events of a watch.
 struct KvEvents
 {
-	std::vector<KvItem> items; ///< In order; a revision of 0 means that the key was removed.
-	bool historyLost = false;
+	std::vector<KvItem> items;  ///< In order; a revision of 0 means that the key was removed.
+	bool historyLost = false;   ///< The store no longer has the revisions that the watch asked for.
 	std::uint64_t revision = 0; ///< Revision from which the next watch continues.
 };
 
@@ -75,7 +75,7 @@
 /// Outcome of a transaction.
 enum class KvOutcome
 {
-	Done,
+	Done,            ///< All changes were applied.
 	ConditionFailed, ///< Nothing was changed; the items show why.
 	LeaseGone,       ///< Nothing was changed: the lease does not exist any more.
 	NotDone,         ///< The store rejected the transaction: nothing was changed.
--- a/src/coordination/relaychoice.cpp
+++ b/src/coordination/relaychoice.cpp
@@ -103,9 +103,9 @@
 	{
 		return std::nullopt;
 	}
-	if (m_holder && *m_holder != m_own.host && !isAvoided(*m_holder, _now))
+	if (m_dutyHolder && *m_dutyHolder != m_own.host && !isAvoided(*m_dutyHolder, _now))
 	{
-		return m_holder;
+		return m_dutyHolder;
 	}
 	return firstBefore(m_topMembers);
 }
--- a/src/coordination/relaychoice.h
+++ b/src/coordination/relaychoice.h
@@ -64,7 +64,7 @@
 	/// Sets the duty holder, which reads the store itself.
 	void setDutyHolder(std::optional<std::string> _host)
 	{
-		m_holder = std::move(_host);
+		m_dutyHolder = std::move(_host);
 	}
 
 	/// Notes that a member did not answer.
@@ -129,7 +129,7 @@
 	MemberRecord m_own;
 	std::map<std::string, Ranked> m_members; ///< By data centre.
 	Ranked m_topMembers;                     ///< The first kTopMembers of each data centre.
-	std::optional<std::string> m_holder;
+	std::optional<std::string> m_dutyHolder;
 	std::map<std::string, Micros> m_failed;
 	std::map<std::string, Micros> m_silent; ///< When each was heard again; kNever while it was not.
 };
