--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -13,17 +13,19 @@
 {
 namespace
 {
-/// 10,000 records of 250 bytes are 2.5 MB: 2 s of a link of 10 Mbit/s that callers' answers share.
-constexpr Micros kLongest = 6 * kSecond;
-/// Between two looks while nothing is known: what a peer tells first may be old.
-constexpr Micros kLookAtStart = 200 * kMillisecond;
-constexpr Micros kLook = 50 * kMillisecond;            ///< Between two looks while a list is waited for.
-constexpr Micros kLookOutOfReach = 100 * kMillisecond; ///< The same while the store is out of reach.
-/// While the store is out of reach StoreSync tries it. Where that takes the content from another gateway, nobody
-/// would find out, so this reads after such a pause.
-constexpr Micros kProbePause = 2 * kSecond;
-/// Reads that wait at the same time: as many as begin within the longest patience in use, 2.4 s, but for two.
-constexpr std::size_t kMostReads = 8;
+/// Longest time for a read: 10,000 records of 250 bytes are 2.5 MB, or 2 s on a link of 10 Mbit/s that callers'
+/// answers share.
+constexpr Micros kReadTimeout = 6 * kSecond;
+/// Time between two checks while there is no list yet: the first one from a peer may be old.
+constexpr Micros kStartCheckInterval = 200 * kMillisecond;
+constexpr Micros kCheckInterval = 50 * kMillisecond; ///< Time between two checks while a list is awaited.
+/// Time between two checks while the store is unreachable.
+constexpr Micros kUnreachableCheckInterval = 100 * kMillisecond;
+/// Probe interval while the store is unreachable. StoreSync tries the store too, but not while it gets the content
+/// from another gateway, so that nothing else would notice that the store is back.
+constexpr Micros kProbeInterval = 2 * kSecond;
+/// Reads that may wait at the same time: all but two of those that start within the longest timeout in use, 2.4 s.
+constexpr std::size_t kMaxReads = 8;
 } // namespace
 
 BackendListSync::BackendListSync(GatewayContext& _context)
@@ -33,17 +35,17 @@
 
 void BackendListSync::init()
 {
-	schedule(kLookAtStart);
+	schedule(kStartCheckInterval);
 }
 
 void BackendListSync::shutdown()
 {
 	m_closed = true;
 	m_timer.cancel();
-	giveUpReads();
-	if (m_spare)
+	cancelReads();
+	if (m_idleReader)
 	{
-		m_spare->close();
+		m_idleReader->close();
 	}
 	if (m_probe)
 	{
@@ -71,83 +73,83 @@
 	m_context.storeContact.onHeldUp(std::max<Micros>(0, now - m_due), now);
 	if (m_context.directory.revision() == 0)
 	{
-		schedule(kLookAtStart);
+		schedule(kStartCheckInterval);
 		return;
 	}
 	const Micros age = m_context.directory.listAge(now);
 	if (age < m_budget.readFrom)
 	{
-		rest(age);
+		onListFresh(age);
 	}
 	else if (m_context.storeContact.outOfReach(now))
 	{
-		waitOutOfReach(now);
+		waitWhileUnreachable(now);
 	}
 	else
 	{
-		readInReach(now);
+		readWhileReachable(now);
 	}
 }
 
-void BackendListSync::rest(Micros _age)
+void BackendListSync::onListFresh(Micros _age)
 {
-	noteInReach(_age);
+	onStoreReachable(_age);
 	m_context.storeContact.onNotNeeded();
 	m_pace.onAnswered();
-	schedule(std::max(kLook, m_budget.readFrom - _age));
+	schedule(std::max(kCheckInterval, m_budget.readFrom - _age));
 }
 
-void BackendListSync::noteInReach(Micros _age)
+void BackendListSync::onStoreReachable(Micros _age)
 {
-	if (std::exchange(m_outOfReach, false))
+	if (std::exchange(m_storeUnreachable, false))
 	{
 		logEvent(LogLevel::Info, "store-in-reach", {{"list_age_ms", millisText(_age)}});
 	}
 }
 
-void BackendListSync::readInReach(Micros _now)
+void BackendListSync::readWhileReachable(Micros _now)
 {
-	noteInReach(m_context.directory.listAge(_now));
+	onStoreReachable(m_context.directory.listAge(_now));
 	if (mayStartRead(_now))
 	{
-		begin(_now);
+		startReadOrProbe(_now);
 	}
-	schedule(kLook);
+	schedule(kCheckInterval);
 }
 
-void BackendListSync::waitOutOfReach(Micros _now)
+void BackendListSync::waitWhileUnreachable(Micros _now)
 {
 	const StoreContact& contact = m_context.storeContact;
 	m_context.directory.onStoreLost(_now);
-	if (!m_outOfReach)
+	if (!m_storeUnreachable)
 	{
-		m_outOfReach = true;
+		m_storeUnreachable = true;
 		logEvent(LogLevel::Warning, "store-out-of-reach",
 				 {{"cause", contact.turnedAway() ? "turned-away" : "silent"},
 				  {"silent_ms", millisText(contact.silence(_now))},
 				  {"list_age_ms", millisText(m_context.directory.listAge(_now))}});
-		// Their connections may be dead, and would keep later reads from beginning.
-		giveUpReads();
+		// The connections of these reads may be dead, and would keep later reads from starting.
+		cancelReads();
 	}
-	if (contact.idle(_now) > kProbePause)
+	if (contact.idle(_now) > kProbeInterval)
 	{
-		begin(_now);
+		startReadOrProbe(_now);
 	}
-	schedule(kLookOutOfReach);
+	schedule(kUnreachableCheckInterval);
 }
 
 bool BackendListSync::mayStartRead(Micros _now) const
 {
-	// While bytes come, another answer would only slow them down.
+	// While an answer is being received, another one would only slow it down.
 	const auto receiving = [](const ReaderPtr& _reader)
 	{
 		return _reader->receiving();
 	};
-	return m_pace.due(_now) && m_reads.size() < kMostReads &&
+	return m_pace.due(_now) && m_reads.size() < kMaxReads &&
 		   std::none_of(m_reads.begin(), m_reads.end(), receiving);
 }
 
-void BackendListSync::begin(Micros _now)
+void BackendListSync::startReadOrProbe(Micros _now)
 {
 	if (m_context.mayReadStore(_now))
 	{
@@ -166,7 +168,7 @@
 	if (!m_probe)
 	{
 		m_probe = std::make_shared<RangeReader>(m_context.loop, m_context.storeContact, m_context.settings.store,
-												std::string(kHolderKey), kLongest);
+												std::string(kHolderKey), kReadTimeout);
 	}
 	m_probe->read(m_budget.listLife,
 				  [self = shared_from_this()](const std::optional<StoreContent>& _content)
@@ -182,20 +184,20 @@
 void BackendListSync::startRead(Micros _now)
 {
 	m_pace.onBegun(_now);
-	ReaderPtr reader = std::exchange(m_spare, nullptr);
+	ReaderPtr reader = std::exchange(m_idleReader, nullptr);
 	if (!reader)
 	{
 		reader = std::make_shared<RangeReader>(m_context.loop, m_context.storeContact, m_context.settings.store,
-											   platform::backendPrefix(), kLongest);
+											   platform::backendPrefix(), kReadTimeout);
 	}
 	m_reads.push_back(reader);
-	// An answer that takes longer would bring a list that is too old to send by.
+	// A slower answer would deliver a list that is too old to send requests by.
 	reader->read(m_budget.listLife,
 				 [self = shared_from_this(), weak = std::weak_ptr<RangeReader>(reader)](
 					 std::optional<StoreContent> _content) { self->onList(weak.lock(), std::move(_content)); });
 }
 
-void BackendListSync::giveUpReads()
+void BackendListSync::cancelReads()
 {
 	for (const ReaderPtr& reader : m_reads)
 	{
@@ -218,13 +220,13 @@
 				 {{"cause", std::string(toString(_reader->fault()))},
 				  {"list_age_ms", millisText(m_context.directory.listAge(now))}});
 	}
-	if (m_spare)
+	if (m_idleReader)
 	{
 		_reader->close();
 	}
 	else
 	{
-		m_spare = _reader;
+		m_idleReader = _reader;
 	}
 	if (!_content)
 	{
--- a/src/gateway/backendrecords.cpp
+++ b/src/gateway/backendrecords.cpp
@@ -34,7 +34,7 @@
 		}
 	}
 	std::erase_if(m_parsed, [&present](const auto& _entry) { return !present.count(_entry.first); });
-	leaveOutUnborn(entries);
+	excludeWithoutStartTime(entries);
 	return entries;
 }
 
@@ -58,31 +58,31 @@
 	return parsed;
 }
 
-void BackendRecords::leaveOutUnborn(BackendEntries& _entries)
+void BackendRecords::excludeWithoutStartTime(BackendEntries& _entries)
 {
-	const auto unborn = [](const BackendRecord& _record)
+	const auto withoutStartTime = [](const BackendRecord& _record)
 	{
 		return _record.born == 0;
 	};
-	const auto count = std::count_if(_entries.records.begin(), _entries.records.end(), unborn);
+	const auto count = std::count_if(_entries.records.begin(), _entries.records.end(), withoutStartTime);
 	if (2 * static_cast<std::size_t>(count) >= _entries.records.size())
 	{
 		return;
 	}
 	for (const BackendRecord& record : _entries.records)
 	{
-		if (unborn(record))
+		if (withoutStartTime(record))
 		{
 			_entries.unreadable.push_back(record.id);
 		}
 	}
-	std::erase_if(_entries.records, unborn);
+	std::erase_if(_entries.records, withoutStartTime);
 }
 
 void BackendRecords::onRefused(const std::string& _id, std::string_view _detail)
 {
 	++m_refusals;
-	if (m_refusals <= kLoggedAll || m_refusals % kLoggedEvery == 0)
+	if (m_refusals <= kMaxRefusalsLogged || m_refusals % kRefusalLogInterval == 0)
 	{
 		logEvent(LogLevel::Warning, "backend-refused",
 				 {{"backend", _id}, {"detail", std::string(_detail)}, {"refusals", std::to_string(m_refusals)}});
--- a/src/gateway/backendrecords.h
+++ b/src/gateway/backendrecords.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Backend servers' records, decoded once for each change.
+/// Decodes the records of backend servers, once per change.
 
 #ifndef BEACONGATE_GATEWAY_BACKENDRECORDS_H
 #define BEACONGATE_GATEWAY_BACKENDRECORDS_H
@@ -19,33 +19,33 @@
 
 namespace beacongate
 {
-/// What a store's items say of backend servers.
+/// The backend servers among the items of the store.
 struct BackendEntries
 {
 	std::vector<BackendRecord> records;
-	std::vector<std::string> unreadable; ///< Ids whose records make no sense.
+	std::vector<std::string> unreadable; ///< Ids whose records are invalid.
 };
 
-/// Decodes records and remembers them by their revision. One that makes no sense names no server; the others hold.
+/// Decodes records and caches them by their revision. An invalid record is ignored; the others stay valid.
 class BackendRecords
 {
 public:
-	/// Refusals that are logged one by one. Another writer may spoil thousands of records again and again: after
-	/// these, each kLoggedEvery-th is logged with the count.
-	static constexpr std::uint64_t kLoggedAll = 100;
-	static constexpr std::uint64_t kLoggedEvery = 1000;
+	/// Refusals that are logged one by one; after these, every kRefusalLogInterval-th is logged with the count.
+	/// Another writer may overwrite thousands of records with invalid ones again and again.
+	static constexpr std::uint64_t kMaxRefusalsLogged = 100;
+	static constexpr std::uint64_t kRefusalLogInterval = 1000;
 
-	/// @returns the records among a store's items.
+	/// @returns the records among the items of the store.
 	BackendEntries read(const std::map<std::string, KvItem>& _items);
 
-	/// @returns changes of records that made no sense, since the start.
+	/// @returns the number of changes to an invalid record since the start.
 	std::uint64_t refusals() const
 	{
 		return m_refusals;
 	}
 
 private:
-	/// A record as it stood at a revision; none where it could not be read.
+	/// A record at a revision; empty if it could not be decoded.
 	struct Parsed
 	{
 		std::uint64_t revision = 0;
@@ -54,13 +54,13 @@
 
 	const Parsed& parse(const std::string& _id, const KvItem& _item);
 
-	/// Where most records tell when their servers started, one that does not was not written by a server. Fleets in
-	/// which servers do not tell it are served as well.
-	static void leaveOutUnborn(BackendEntries& _entries);
+	/// If most records give their server's start time, excludes those that do not, since no server wrote them.
+	/// Fleets whose servers give no start time are served as well.
+	static void excludeWithoutStartTime(BackendEntries& _entries);
 	void onRefused(const std::string& _id, std::string_view _detail);
 
 	std::uint64_t m_refusals = 0;
-	std::map<std::string, Parsed> m_parsed; ///< By backend server, of the last items that were read.
+	std::map<std::string, Parsed> m_parsed; ///< Decoded records of the last items read, by backend server id.
 };
 
 } // namespace beacongate
--- a/src/gateway/contentfingerprint.h
+++ b/src/gateway/contentfingerprint.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A short value by which two gateways find out that they hold the same content of the store.
+/// A hash by which two gateways find out that they hold the same content of the store.
 
 #ifndef BEACONGATE_GATEWAY_CONTENTFINGERPRINT_H
 #define BEACONGATE_GATEWAY_CONTENTFINGERPRINT_H
@@ -13,9 +13,11 @@
 
 namespace beacongate
 {
-/// Hashes what gateways route by: the configuration, the backend servers, the members and the holder of the duties.
-/// @returns a value that is equal where these are, whatever the revision at which they were read. The holder's own
-/// records (usage counts, levels of quotas, fence) change several times a second and do not count.
+/// Hashes the part of the content by which gateways route: the configuration, the backend servers, the members and
+/// the holder of the duties.
+/// @returns a value that is equal if these are equal, whatever the revision at which they were read. The duty
+/// holder's own records (usage counts, levels of quotas, fencing token) change several times a second and are not
+/// included.
 std::uint64_t fingerprintOf(const StoreContent& _content);
 
 } // namespace beacongate
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -334,7 +334,7 @@
 		return;
 	}
 	m_pendingWindows.insert(_window);
-	const platform::DutyHolder holder{m_context.settings.name, m_lease.fence()};
+	const platform::DutyCaller holder{m_context.settings.name, m_lease.fence()};
 	m_dutyChannel->call(
 		platform::usageCall(holder, _window, _counts), kDutyTimeout,
 		[self = shared_from_this(), _window, fence = m_lease.fence()](const std::optional<HttpAnswer>& _answer)
@@ -377,7 +377,7 @@
 	{
 		zones[zone];
 	}
-	unsigned standing = 0;
+	unsigned servers = 0;
 	unsigned onDemand = 0;
 	for (const auto& [id, known] : m_context.directory.backends())
 	{
@@ -394,14 +394,14 @@
 			continue;
 		}
 		++(known.record.spot ? zone.spot : zone.onDemand);
-		++standing;
+		++servers;
 		onDemand += known.record.spot ? 0 : 1;
 	}
-	if (standing == 0 && !m_context.settings.firstStart)
+	if (servers == 0 && !m_context.settings.firstStart)
 	{
 		return;
 	}
-	const CapacityPlanner::Need need = needOf(_service, standing, onDemand, _now);
+	const CapacityPlanner::Need need = needOf(_service, servers, onDemand, _now);
 	for (const CapacityOrder& order : m_planners[_service.name].plan(*_service.scaling, zones, need, _now))
 	{
 		logEvent(LogLevel::Info, "capacity-order",
@@ -413,13 +413,13 @@
 				  {"occupied", std::to_string(m_context.demand.occupied(_service.name))},
 				  {"wished", std::to_string(need.wished)},
 				  {"required", std::to_string(need.required)},
-				  {"standing", std::to_string(standing)},
+				  {"standing", std::to_string(servers)},
 				  {"fence", std::to_string(m_lease.fence())}});
 		sendOrder(_service.name, order);
 	}
 }
 
-CapacityPlanner::Need DutyHolder::needOf(const PooledService& _service, unsigned _standing, unsigned _onDemand,
+CapacityPlanner::Need DutyHolder::needOf(const PooledService& _service, unsigned _servers, unsigned _onDemand,
 										 Micros _now)
 {
 	const double work = CapacityPlanner::combinedWork(m_context.demand.work(_service.name),
@@ -431,14 +431,14 @@
 	const bool hearsMost = word.trust(_now) == FleetTrust::Whole && word.silentShare(_now) < kMaxSilentShare;
 	observation.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	observation.firstStart = m_context.settings.firstStart;
-	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
+	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _servers);
 	observation.standing = m_startListings[_service.name].standing();
 	return CapacityPlanner::needFor(*_service.scaling, observation);
 }
 
 void DutyHolder::sendOrder(const std::string& _service, const CapacityOrder& _order)
 {
-	const platform::DutyHolder holder{m_context.settings.name, m_lease.fence()};
+	const platform::DutyCaller holder{m_context.settings.name, m_lease.fence()};
 	++m_pendingOrders;
 	m_dutyChannel->call(
 		platform::capacityCall(holder, _service, _order.dataCentre, _order.count, _order.spot), kDutyTimeout,
--- a/src/gateway/dutyholder.h
+++ b/src/gateway/dutyholder.h
@@ -58,8 +58,7 @@
 	void sendWindow(std::uint64_t _window, const std::map<std::string, std::uint64_t>& _counts);
 	void orderCapacity(Micros _now);
 	void orderCapacityFor(const PooledService& _service, Micros _now);
-	CapacityPlanner::Need needOf(const PooledService& _service, unsigned _standing, unsigned _onDemand,
-								 Micros _now);
+	CapacityPlanner::Need needOf(const PooledService& _service, unsigned _servers, unsigned _onDemand, Micros _now);
 	void sendOrder(const std::string& _service, const CapacityOrder& _order);
 	std::uint64_t revisionOf(const std::string& _key) const;
 
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -481,7 +481,7 @@
 		m_context.admission.giveBack(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
 	}
 	m_session->answer(
-		makeOwnAnswer(_status, _failure, _detail, _retryAfter, platform::ownAnswerHeaders(m_info.id)));
+		makeErrorAnswer(_status, _failure, _detail, _retryAfter, platform::errorAnswerHeaders(m_info.id)));
 	finish(std::string(failureInfo(_failure).type), _status, _detail);
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,7 +16,7 @@
 {
 namespace
 {
-constexpr Micros kStopStep = 50 * kMillisecond;
+constexpr Micros kStopPollInterval = 50 * kMillisecond;
 constexpr Micros kStopRetryAfter = 50 * kMillisecond;
 constexpr const char* kStatePath = "/state";
 constexpr const char* kMetricsPath = "/metrics";
@@ -26,11 +26,11 @@
 	switch (_fault)
 	{
 	case ParseFault::HeaderTooLarge:
-		return makeOwnAnswer(431, Failure::HeaderTooLarge, "the header is too large", 0);
+		return makeErrorAnswer(431, Failure::HeaderTooLarge, "the header is too large", 0);
 	case ParseFault::BodyTooLarge:
-		return makeOwnAnswer(413, Failure::BodyTooLarge, "the body is too large", 0);
+		return makeErrorAnswer(413, Failure::BodyTooLarge, "the body is too large", 0);
 	default:
-		return makeOwnAnswer(400, Failure::MalformedRequest, "this is no request", 0);
+		return makeErrorAnswer(400, Failure::MalformedRequest, "this is no request", 0);
 	}
 }
 } // namespace
@@ -45,51 +45,52 @@
 	};
 }
 
-std::shared_ptr<ServerContext> Gateway::makeContext()
+std::shared_ptr<ServerContext> Gateway::makeServerContext()
 {
-	auto shared = std::make_shared<ServerContext>();
-	shared->onMalformed = malformedAnswer;
-	shared->onTimeout = []
+	auto server = std::make_shared<ServerContext>();
+	server->onMalformed = malformedAnswer;
+	server->onTimeout = []
 	{
-		return makeOwnAnswer(408, Failure::RequestTimeout, "the request came too slowly", 0);
+		return makeErrorAnswer(408, Failure::RequestTimeout, "the request came too slowly", 0);
 	};
-	shared->limits = [this]
+	server->limits = [this]
 	{
-		return limitsInForce();
+		return currentLimits();
 	};
-	shared->now = monotonicNow;
-	return shared;
+	server->now = monotonicNow;
+	return server;
 }
 
 void Gateway::init()
 {
-	m_callers = makeContext();
-	m_callers->onRequest = [this](const ServerSessionPtr& _session, IncomingRequest&& _request)
+	m_callerContext = makeServerContext();
+	m_callerContext->onRequest = [this](const ServerSessionPtr& _session, IncomingRequest&& _request)
 	{
 		onCallerRequest(_session, std::move(_request));
 	};
-	m_questions = makeContext();
-	m_questions->onRequest = [this](const ServerSessionPtr& _session, IncomingRequest&& _request)
+	m_controlContext = makeServerContext();
+	m_controlContext->onRequest = [this](const ServerSessionPtr& _session, IncomingRequest&& _request)
 	{
-		if (platform::asksReadiness(_request.head))
+		if (platform::isReadinessRequest(_request.head))
 		{
 			onReadinessRequest(_session, _request);
 			return;
 		}
 		onControlRequest(_session, _request);
 	};
-	m_callerListener = std::make_unique<ServerListener>(m_context.loop, m_context.settings.callers, m_callers);
+	m_callerListener =
+		std::make_unique<ServerListener>(m_context.loop, m_context.settings.callers, m_callerContext);
 	m_readinessListener =
-		std::make_unique<ServerListener>(m_context.loop, m_context.settings.readiness, m_questions);
+		std::make_unique<ServerListener>(m_context.loop, m_context.settings.readiness, m_controlContext);
 	if (m_context.settings.control)
 	{
 		m_controlListener =
-			std::make_unique<ServerListener>(m_context.loop, *m_context.settings.control, m_questions);
+			std::make_unique<ServerListener>(m_context.loop, *m_context.settings.control, m_controlContext);
 	}
 	if (m_context.settings.metricsPort != 0)
 	{
 		const Address address{m_context.settings.callers.host, m_context.settings.metricsPort};
-		m_metricsListener = std::make_unique<ServerListener>(m_context.loop, address, m_questions);
+		m_metricsListener = std::make_unique<ServerListener>(m_context.loop, address, m_controlContext);
 	}
 	m_gossiper = std::make_unique<Gossiper>(m_context);
 	m_gossiper->init();
@@ -97,13 +98,13 @@
 	m_store->init();
 	m_backendList = std::make_shared<BackendListSync>(m_context);
 	m_backendList->init();
-	m_context.onNewsFromPeer = [this]
+	m_context.onNewerConfigAtPeer = [this]
 	{
 		m_store->refresh();
 	};
-	m_context.onPeerHolds = [this](std::uint64_t _fingerprint, Micros _confirmed)
+	m_context.onPeerContentState = [this](std::uint64_t _fingerprint, Micros _confirmed)
 	{
-		m_store->onPeerHolds(_fingerprint, _confirmed);
+		m_store->onPeerContentState(_fingerprint, _confirmed);
 	};
 	m_registration = std::make_shared<Registration>(m_context);
 	m_registration->init();
@@ -127,7 +128,7 @@
 	boost::asio::post(m_context.loop, std::move(_function));
 }
 
-RequestLimits Gateway::limitsInForce() const
+RequestLimits Gateway::currentLimits() const
 {
 	const auto& config = m_context.directory.config();
 	return config ? config->limits : RequestLimits();
@@ -138,7 +139,8 @@
 	const Micros elapsed = m_context.stopping ? monotonicNow() - m_context.stopRequested : 0;
 	if (m_context.stopping && !StopPolicy(m_context.settings.grace).takesRequests(elapsed))
 	{
-		_session->answer(makeOwnAnswer(503, Failure::Stopping, "this gateway is stopping", kStopRetryAfter), true);
+		_session->answer(makeErrorAnswer(503, Failure::Stopping, "this gateway is stopping", kStopRetryAfter),
+						 true);
 		return;
 	}
 	std::make_shared<Exchange>(m_context, m_dispatcher, _session, std::move(_request))->start();
@@ -150,8 +152,8 @@
 	{
 		return false;
 	}
-	const bool mayExpire = m_context.settings.strictRevocation && !m_context.directory.config()->teams.empty();
-	return !mayExpire || m_context.directory.age(monotonicNow()) < m_context.settings.revocationSpan * 6 / 10;
+	const bool keysMayExpire = m_context.settings.strictRevocation && !m_context.directory.config()->teams.empty();
+	return !keysMayExpire || m_context.directory.age(monotonicNow()) < m_context.settings.revocationSpan * 6 / 10;
 }
 
 void Gateway::onReadinessRequest(const ServerSessionPtr& _session, const IncomingRequest& /*request*/)
@@ -162,9 +164,9 @@
 		return;
 	}
 	const bool stopping = m_context.stopping;
-	_session->answer(makeOwnAnswer(503, stopping ? Failure::Stopping : Failure::StoreUnavailable,
-								   stopping ? "this gateway is stopping" : "the configuration is not confirmed",
-								   0));
+	_session->answer(makeErrorAnswer(503, stopping ? Failure::Stopping : Failure::StoreUnavailable,
+									 stopping ? "this gateway is stopping" : "the configuration is not confirmed",
+									 0));
 }
 
 void Gateway::onControlRequest(const ServerSessionPtr& _session, const IncomingRequest& _request)
@@ -172,7 +174,7 @@
 	if (_request.head.target == kContentPath)
 	{
 		HttpAnswer answer;
-		answer.body = m_store->wholeContent();
+		answer.body = m_store->fullContent();
 		answer.status = answer.body.empty() ? 503 : 200;
 		_session->answer(answer);
 		return;
@@ -198,7 +200,7 @@
 		_session->answer(HttpAnswer{200, {{"Content-Type", "text/plain; version=0.0.4"}}, formatMetrics()});
 		return;
 	}
-	_session->answer(makeOwnAnswer(404, Failure::NoRoute, "no such page", 0));
+	_session->answer(makeErrorAnswer(404, Failure::NoRoute, "no such page", 0));
 }
 
 std::string Gateway::formatMetrics()
@@ -235,7 +237,7 @@
 	metrics.setGauge("beacongate_quota_requests_undecided", static_cast<double>(asks.undecided));
 	metrics.setGauge("beacongate_quota_grants_returned", static_cast<double>(asks.returned));
 	metrics.setGauge("beacongate_duties_held", m_duties && m_duties->holds() ? 1.0 : 0.0);
-	metrics.setGauge("beacongate_buffered_bytes", static_cast<double>(m_callers->bufferedBytes));
+	metrics.setGauge("beacongate_buffered_bytes", static_cast<double>(m_callerContext->bufferedBytes));
 	metrics.setGauge("beacongate_log_lines_left_out", static_cast<double>(droppedLogLines()));
 	return metrics.format();
 }
@@ -289,38 +291,38 @@
 	}
 	m_context.stopping = true;
 	m_context.stopRequested = monotonicNow();
-	m_callers->stopping = true;
+	m_callerContext->stopping = true;
 	logEvent(LogLevel::Info, "stop-requested", {{"open", std::to_string(m_context.openExchanges)}});
-	stopStep();
+	pollStop();
 }
 
-void Gateway::stopStep()
+void Gateway::pollStop()
 {
 	const Micros elapsed = monotonicNow() - m_context.stopRequested;
 	const StopPolicy policy(m_context.settings.grace);
-	const bool noticed = policy.closesIdle(elapsed);
+	const bool closesIdle = policy.closesIdle(elapsed);
 	const bool mustEnd = policy.mustEnd(elapsed);
-	if (noticed)
+	if (closesIdle)
 	{
 		m_callerListener->close();
-		const auto sessions = m_callers->sessions;
+		const auto sessions = m_callerContext->sessions;
 		for (const ServerSessionPtr& session : sessions)
 		{
 			session->closeIfIdle();
 		}
 	}
-	if (mustEnd || (noticed && m_callers->sessions.empty()))
+	if (mustEnd || (closesIdle && m_callerContext->sessions.empty()))
 	{
 		shutdown();
 		return;
 	}
-	m_stopTimer.expires_after(std::chrono::microseconds(kStopStep));
+	m_stopTimer.expires_after(std::chrono::microseconds(kStopPollInterval));
 	m_stopTimer.async_wait(
 		[this](const boost::system::error_code& _error)
 		{
 			if (!_error)
 			{
-				stopStep();
+				pollStop();
 			}
 		});
 }
@@ -337,8 +339,8 @@
 	{
 		m_duties->shutdown();
 	}
-	// Answers whose last bytes are on their way are given a moment.
-	m_stopTimer.expires_after(std::chrono::microseconds(kStopStep * 2));
+	// Lets the last bytes of answers leave.
+	m_stopTimer.expires_after(std::chrono::microseconds(kStopPollInterval * 2));
 	m_stopTimer.async_wait([this](const boost::system::error_code& /*error*/) { m_context.loop.stop(); });
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The gateway process: everything between callers and backend servers on one VM, on one event loop.
+/// The gateway process: handles all traffic between callers and backend servers on one VM, on one event loop.
 
 #ifndef BEACONGATE_GATEWAY_GATEWAY_H
 #define BEACONGATE_GATEWAY_GATEWAY_H
@@ -23,28 +23,30 @@
 
 namespace beacongate
 {
-/// One gateway.
+/// One gateway process.
 class Gateway
 {
 public:
-	/// @param[in] reload Reads the settings anew; its failure leaves the present ones in force.
+	/// @param[in] _settings Settings at the start.
+	/// @param[in] _reload Reads the settings again; if it throws an Error, the current ones stay in force.
 	Gateway(GatewaySettings _settings, std::function<GatewaySettings()> _reload);
 
-	/// Listens and begins to talk to the store and to peers.
-	/// @throws Error SettingInvalid where an address cannot be bound.
+	/// Opens the listeners and starts the exchange with the store and with peers.
+	/// @throws Error SettingInvalid if an address cannot be bound.
 	void init();
 
-	/// Runs until a stop has been completed.
+	/// Runs until a requested stop is complete.
 	void run();
 
-	/// Runs a function on the event loop's thread, at some later time.
+	/// Runs a function later on the event loop's thread.
 	void post(std::function<void()> _function);
 
-	/// Stops: takes requests until the balancer has noticed, ends what runs, and ends.
+	/// Starts a graceful stop: accepts requests until the load balancer has noticed, finishes running requests,
+	/// and ends.
 	void requestStop();
 
 private:
-	std::shared_ptr<ServerContext> makeContext();
+	std::shared_ptr<ServerContext> makeServerContext();
 	void onCallerRequest(const ServerSessionPtr& _session, IncomingRequest&& _request);
 	void onReadinessRequest(const ServerSessionPtr& _session, const IncomingRequest& _request);
 	void onControlRequest(const ServerSessionPtr& _session, const IncomingRequest& _request);
@@ -52,15 +54,15 @@
 	bool ready() const;
 	void waitForSignal();
 	void reloadSettings();
-	void stopStep();
+	void pollStop();
 	void shutdown();
-	RequestLimits limitsInForce() const;
+	RequestLimits currentLimits() const;
 
 	GatewayContext m_context;
 	std::function<GatewaySettings()> m_reload;
 	Dispatcher m_dispatcher;
-	std::shared_ptr<ServerContext> m_callers;
-	std::shared_ptr<ServerContext> m_questions;
+	std::shared_ptr<ServerContext> m_callerContext;
+	std::shared_ptr<ServerContext> m_controlContext;
 	std::unique_ptr<ServerListener> m_callerListener;
 	std::unique_ptr<ServerListener> m_readinessListener;
 	std::unique_ptr<ServerListener> m_controlListener;
--- a/src/gateway/gatewaycontext.h
+++ b/src/gateway/gatewaycontext.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What the parts of one gateway share. All of it belongs to the event loop's thread.
+/// State shared by the parts of one gateway. It is used only on the event loop's thread.
 
 #ifndef BEACONGATE_GATEWAY_GATEWAYCONTEXT_H
 #define BEACONGATE_GATEWAY_GATEWAYCONTEXT_H
@@ -41,7 +41,7 @@
 
 namespace beacongate
 {
-/// State of one gateway.
+/// The shared state of one gateway.
 struct GatewayContext
 {
 	explicit GatewayContext(GatewaySettings _configured)
@@ -58,26 +58,27 @@
 		peers.setSeeds(settings.seeds);
 	}
 
-	/// @returns a span within a quarter of the given one.
+	/// @returns a random span that differs from the given one by up to a quarter.
 	Micros jittered(Micros _span)
 	{
 		return _span * 3 / 4 + static_cast<Micros>(random() % static_cast<std::uint64_t>(_span / 2 + 1));
 	}
 
-	/// @returns whether the fleet is so large that gateways report to collectors instead of to each other.
+	/// @returns true if the fleet is so large that gateways report to collectors instead of to each other.
 	bool usesCollectors() const
 	{
 		return GossipPlan::usesCollectors(relays.memberCount());
 	}
 
-	/// @returns whether this gateway may read the whole content, or all records of backend servers, from the store.
+	/// @returns true if this gateway may read the whole content, or all records of backend servers, from the
+	/// store.
 	bool mayReadStore(Micros _now) const
 	{
 		return ReaderShare::mayRead(relays.memberCount(), relays.position(), contentBytes,
 									_now - std::max(relayAnswered, started));
 	}
 
-	/// @returns number of the usage window that is open now.
+	/// @returns the number of the usage window that is open now.
 	std::uint64_t currentWindow(Micros _now) const
 	{
 		return static_cast<std::uint64_t>(clock.trueTime(_now) / settings.usageWindow);
@@ -89,9 +90,9 @@
 	Micros started = monotonicNow();
 	Directory directory;
 	StoreContent content;
-	std::uint64_t contentFingerprint = 0; ///< Of content, see fingerprintOf().
-	std::uint64_t contentBytes = 0;       ///< That a read of content takes, as far as is known.
-	Micros relayAnswered = kLongAgo;      ///< When a relay said anything last.
+	std::uint64_t contentFingerprint = 0; ///< Fingerprint of content, see fingerprintOf().
+	std::uint64_t contentBytes = 0;       ///< Estimated size of a read of content.
+	Micros relayAnswered = kLongAgo;      ///< When a relay last answered.
 	ContentHistory history;
 	BackendRecords backendRecords;
 	StoreContact storeContact;
@@ -113,13 +114,13 @@
 	bool stopping = false;
 	Micros stopRequested = kNever;
 	std::size_t openExchanges = 0;
-	/// Called when the directory took in a snapshot.
+	/// Called after the directory has changed.
 	std::function<void()> onDirectoryChanged;
 	/// Called when a peer has a newer configuration.
-	std::function<void()> onNewsFromPeer;
-	/// Called when a peer tells which content it holds, and when that was certainly the newest.
-	std::function<void(std::uint64_t, Micros)> onPeerHolds;
-	/// This gateway holds the duties: it alone watches the store and passes the news on.
+	std::function<void()> onNewerConfigAtPeer;
+	/// Called when a peer states the fingerprint of its content and when that content was certainly the newest.
+	std::function<void(std::uint64_t, Micros)> onPeerContentState;
+	/// This gateway holds the duties; it alone watches the store, and others learn of changes from it.
 	bool holdsDuties = false;
 };
 
--- a/src/gateway/gatewaymetrics.cpp
+++ b/src/gateway/gatewaymetrics.cpp
@@ -19,11 +19,11 @@
 namespace
 {
 constexpr std::array<double, 3> kQuantiles = {0.5, 0.95, 0.99};
-constexpr std::array<double, 9> kBoundsSeconds = {0.005, 0.02, 0.05, 0.1, 0.3, 0.6, 1.2, 3.0, 10.0};
-constexpr const char* kOther = "other"; ///< Stands for label sets beyond the bound.
+constexpr std::array<double, 9> kBucketBoundsSeconds = {0.005, 0.02, 0.05, 0.1, 0.3, 0.6, 1.2, 3.0, 10.0};
+constexpr const char* kOverflowLabel = "other"; ///< Label of all series beyond the bound.
 
-/// Escapes a label's value.
-std::string quoted(std::string_view _text)
+/// Quotes and escapes a label's value.
+std::string quoteLabel(std::string_view _text)
 {
 	std::string value = "\"";
 	for (const char c : _text)
@@ -38,7 +38,7 @@
 }
 } // namespace
 
-/// A histogram for scrapers and quantiles for people.
+/// A histogram with quantiles.
 struct LatencySummary
 {
 	using Set =
@@ -51,14 +51,14 @@
 	void add(double _seconds)
 	{
 		set(_seconds);
-		for (std::size_t index = 0; index < kBoundsSeconds.size(); ++index)
+		for (std::size_t index = 0; index < kBucketBoundsSeconds.size(); ++index)
 		{
-			buckets[index] += _seconds <= kBoundsSeconds[index] ? 1 : 0;
+			buckets[index] += _seconds <= kBucketBoundsSeconds[index] ? 1 : 0;
 		}
 	}
 
 	Set set;
-	std::array<std::uint64_t, kBoundsSeconds.size()> buckets{};
+	std::array<std::uint64_t, kBucketBoundsSeconds.size()> buckets{};
 };
 
 namespace
@@ -74,10 +74,10 @@
 	_out << "# TYPE " << _name << " histogram\n";
 	for (const auto& [value, summary] : _latencies)
 	{
-		const std::string labels = std::string(_label) + '=' + quoted(value);
-		for (std::size_t index = 0; index < kBoundsSeconds.size(); ++index)
+		const std::string labels = std::string(_label) + '=' + quoteLabel(value);
+		for (std::size_t index = 0; index < kBucketBoundsSeconds.size(); ++index)
 		{
-			_out << _name << "_bucket{" << labels << ",le=\"" << kBoundsSeconds[index] << "\"} "
+			_out << _name << "_bucket{" << labels << ",le=\"" << kBucketBoundsSeconds[index] << "\"} "
 				 << summary->buckets[index] << '\n';
 		}
 		_out << _name << "_bucket{" << labels << ",le=\"+Inf\"} " << acc::count(summary->set) << '\n';
@@ -97,8 +97,8 @@
 
 void GatewayMetrics::record(Latencies& _latencies, const std::string& _label, Micros _span)
 {
-	const bool full = _latencies.size() >= kMostSeries && !_latencies.count(_label);
-	std::unique_ptr<LatencySummary>& summary = _latencies[full ? kOther : _label];
+	const bool overflow = _latencies.size() >= kMaxSeries && !_latencies.count(_label);
+	std::unique_ptr<LatencySummary>& summary = _latencies[overflow ? kOverflowLabel : _label];
 	if (!summary)
 	{
 		summary = std::make_unique<LatencySummary>();
@@ -108,8 +108,9 @@
 
 void GatewayMetrics::onRequest(const RequestLabels& _labels, Micros _duration)
 {
-	const bool full = m_requests.size() >= kMostSeries && !m_requests.count(_labels);
-	++m_requests[full ? RequestLabels{kOther, kOther, _labels.outcome, _labels.status} : _labels];
+	const bool overflow = m_requests.size() >= kMaxSeries && !m_requests.count(_labels);
+	++m_requests[overflow ? RequestLabels{kOverflowLabel, kOverflowLabel, _labels.outcome, _labels.status}
+						  : _labels];
 	record(m_durations, _labels.route, _duration);
 }
 
@@ -120,7 +121,7 @@
 
 void GatewayMetrics::onQueued(const std::string& _service, Micros _waited)
 {
-	record(m_waits, _service, _waited);
+	record(m_queueTimes, _service, _waited);
 }
 
 void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, Standing _standing)
@@ -150,14 +151,15 @@
 	out << "# TYPE beacongate_requests_total counter\n";
 	for (const auto& [labels, count] : m_requests)
 	{
-		out << "beacongate_requests_total{route=" << quoted(labels.route) << ",team=" << quoted(labels.team)
-			<< ",outcome=" << quoted(labels.outcome) << ",status=\"" << labels.status << "\"} " << count << '\n';
+		out << "beacongate_requests_total{route=" << quoteLabel(labels.route) << ",team=" << quoteLabel(labels.team)
+			<< ",outcome=" << quoteLabel(labels.outcome) << ",status=\"" << labels.status << "\"} " << count
+			<< '\n';
 	}
 	out << "# TYPE beacongate_failed_attempts_total counter\n";
 	for (const auto& [labels, count] : m_failedAttempts)
 	{
-		out << "beacongate_failed_attempts_total{service=" << quoted(labels.first)
-			<< ",result=" << quoted(labels.second) << "} " << count << '\n';
+		out << "beacongate_failed_attempts_total{service=" << quoteLabel(labels.first)
+			<< ",result=" << quoteLabel(labels.second) << "} " << count << '\n';
 	}
 	formatCounter(out, "beacongate_backend_list_reads_total", m_listReads);
 	formatCounter(out, "beacongate_held_for_list_total", m_heldForList);
@@ -168,11 +170,11 @@
 	out << "# TYPE beacongate_sends_total counter\n";
 	for (const auto& [standing, count] : m_sends)
 	{
-		out << "beacongate_sends_total{standing=" << quoted(toString(standing)) << "} " << count << '\n';
+		out << "beacongate_sends_total{standing=" << quoteLabel(toString(standing)) << "} " << count << '\n';
 	}
 	formatLatencies(out, "beacongate_request_seconds", "route", m_durations);
 	formatLatencies(out, "beacongate_first_byte_seconds", "service", m_firstBytes);
-	formatLatencies(out, "beacongate_queue_seconds", "service", m_waits);
+	formatLatencies(out, "beacongate_queue_seconds", "service", m_queueTimes);
 	formatLatencies(out, "beacongate_list_age_at_send_seconds", "service", m_listAges);
 	formatLatencies(out, "beacongate_loop_delay_seconds", "loop", m_loopDelays);
 	for (const auto& [name, value] : m_gauges)
--- a/src/gateway/gatewaymetrics.h
+++ b/src/gateway/gatewaymetrics.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Counters and latencies of one gateway, in the text format that scrapers read.
+/// Counters and latencies of one gateway, in the text format of Prometheus.
 
 #ifndef BEACONGATE_GATEWAY_GATEWAYMETRICS_H
 #define BEACONGATE_GATEWAY_GATEWAYMETRICS_H
@@ -18,7 +18,7 @@
 
 namespace beacongate
 {
-/// What a finished request is counted by.
+/// Labels of the counter of finished requests.
 struct RequestLabels
 {
 	std::string route;
@@ -30,81 +30,82 @@
 
 struct LatencySummary;
 
-/// Counts what happened; bounded, since routes and teams come and go.
+/// Collects the metrics. The number of series is bounded, since routes and teams come and go.
 class GatewayMetrics
 {
 public:
-	/// Series that one counter keeps; further label sets are counted together.
-	static constexpr std::size_t kMostSeries = 512;
+	/// Largest number of series of a metric; further label sets are counted together.
+	static constexpr std::size_t kMaxSeries = 512;
 
 	GatewayMetrics();
 	~GatewayMetrics();
 	GatewayMetrics(const GatewayMetrics&) = delete;
 	GatewayMetrics& operator=(const GatewayMetrics&) = delete;
 
-	/// A request got its final answer.
+	/// Records that a request ended.
 	void onRequest(const RequestLabels& _labels, Micros _duration);
 
-	/// The first event, or the whole answer of a call, came from a backend server.
+	/// Records the first event of a stream from a backend server.
+	/// @param[in] _sinceArrival Time since the request arrived.
 	void onFirstByte(const std::string& _service, Micros _sinceArrival);
 
-	/// A request was sent to a backend server after waiting for room.
+	/// Records that a request was sent to a backend server after waiting for room.
 	void onQueued(const std::string& _service, Micros _waited);
 
-	/// A request went out to a backend server.
-	/// @param[in] listAge How old the list of backend servers was at that moment.
-	/// @param[in] standing Of the backend server on that list.
+	/// Records that a request was sent to a backend server.
+	/// @param[in] _listAge Age of the list of backend servers at that moment.
+	/// @param[in] _standing State of the backend server in that list.
 	void onSent(const std::string& _service, Micros _listAge, Standing _standing);
 
-	/// A request waits for a newer list of backend servers.
-	/// @param[in] _again It was counted before.
+	/// Records that a request waits for a newer list of backend servers.
+	/// @param[in] _again Whether the request was counted before.
 	void onHeldForList(bool _again)
 	{
 		m_heldForList += _again ? 0 : 1;
 	}
 
-	/// The list of backend servers was read by itself, since it had grown old.
+	/// Records that the list of backend servers was read separately because it was too old.
 	void onListRead()
 	{
 		++m_listReads;
 	}
 
-	/// A backend server asked for nothing more for a while.
+	/// Records that a backend server asked for a backoff.
 	void onBackoffAsked()
 	{
 		++m_backoffsAsked;
 	}
 
-	/// A backend server asked so in a form that is not understood.
+	/// Records that a backend server asked for a backoff in an unknown format.
 	void onBackoffUnreadable()
 	{
 		++m_backoffsUnreadable;
 	}
 
-	/// A request went out.
-	/// @param[in] _inBackoff Whether its backend server had asked for nothing for a while that was not over.
+	/// Records that a request was sent.
+	/// @param[in] _inBackoff Whether the backend server's backoff had not ended.
 	void onSentInBackoff(bool _inBackoff)
 	{
 		m_sentInBackoff += _inBackoff ? 1 : 0;
 	}
 
-	/// A datagram came that could not be read.
+	/// Records that a datagram could not be decoded.
 	void onDatagramUnreadable()
 	{
 		++m_datagramsUnreadable;
 	}
 
-	/// A timer of the event loop ran.
-	/// @param[in] delay How much later than asked.
+	/// Records that a timer of the event loop ran.
+	/// @param[in] _delay How much later than requested it ran.
 	void onLoopDelay(Micros _delay);
 
-	/// An attempt at a backend server ended without an answer for the caller.
+	/// Records that an attempt at a backend server failed.
 	void onFailedAttempt(const std::string& _service, std::string_view _result);
 
-	/// Sets a value that is told as it is.
+	/// Sets the value of a gauge.
 	void setGauge(const std::string& _name, double _value);
 
-	/// @returns all figures as text.
+	/// @returns all metrics as text.
 	std::string format() const;
 
 private:
@@ -123,7 +124,7 @@
 	std::uint64_t m_datagramsUnreadable = 0;
 	Latencies m_durations;
 	Latencies m_firstBytes;
-	Latencies m_waits;
+	Latencies m_queueTimes;
 	Latencies m_listAges;
 	Latencies m_loopDelays;
 	std::map<Standing, std::uint64_t> m_sends;
--- a/src/gateway/gatewaystate.h
+++ b/src/gateway/gatewaystate.h
@@ -13,7 +13,7 @@
 
 namespace beacongate
 {
-/// @returns the state as JSON; keys of teams are left out.
+/// @returns the state as JSON, without the keys of teams.
 std::string describeState(const GatewayContext& _context, std::size_t _waiting, bool _holdsDuties);
 
 } // namespace beacongate
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -23,15 +23,19 @@
 
 namespace
 {
-constexpr Micros kLoadPatience = 3; ///< Times the span in which a peer is heard, until its load is not counted.
-/// A delay of the event loop that is worth a line: half of the shortest interval at which the store is asked.
-constexpr Micros kLoopDelayLogged = 200 * kMillisecond;
-constexpr Micros kDrainingNews = 2 * kSecond;  ///< How long peers are told of a leaving backend server.
-constexpr std::size_t kWholeEvery = 16;        ///< Rounds between two reports that name all teams.
-constexpr std::uint64_t kUsageWindowsBack = 3; ///< Windows that a report tells which names all teams.
-constexpr std::size_t kRepeated = 4;           ///< Rounds in which a change is told, since datagrams get lost.
-constexpr Micros kTallySpan = kSecond;         ///< Between two lines that tell what was refused of a team.
-constexpr std::size_t kProbedEvery = 4;        ///< Rounds between two messages to a collector that is passed over.
+/// A peer's load expires after this many times the span in which a peer is heard.
+constexpr Micros kPeerLoadLifetimeFactor = 3;
+/// Delay of the event loop from which it is logged: half of the shortest interval at which the store is read.
+constexpr Micros kMinLoggedLoopDelay = 200 * kMillisecond;
+/// For how long reports list a backend server after it began to leave.
+constexpr Micros kDepartureReportSpan = 2 * kSecond;
+constexpr std::size_t kRoundsPerFullReport = 16; ///< Rounds between two reports that list all teams.
+/// Closed usage windows that a report that lists all teams includes.
+constexpr std::uint64_t kUsageWindowsBack = 3;
+constexpr std::size_t kRepeatRounds = 4; ///< Rounds in which a change is repeated, since datagrams may be lost.
+constexpr Micros kTallyLogInterval = kSecond; ///< Time between two log lines about refused requests of a team.
+/// Rounds between two reports to a collector that is considered silent.
+constexpr std::size_t kRoundsPerSilentProbe = 4;
 
 Micros wallClockNow()
 {
@@ -75,7 +79,7 @@
 	m_socket.close(ignored);
 }
 
-GossipMessage Gossiper::describeSender(Micros _now) const
+GossipMessage Gossiper::makeMessage(Micros _now) const
 {
 	GossipMessage message;
 	message.run = m_context.run;
@@ -84,13 +88,13 @@
 	message.sent = _now;
 	message.wallClock = wallClockNow();
 	message.uptime = _now - m_context.started;
-	describeContent(message, _now);
+	setContentState(message, _now);
 	message.leaving = m_context.stopping;
-	message.draining = m_context.directory.drainingSince(_now - kDrainingNews);
+	message.draining = m_context.directory.drainingSince(_now - kDepartureReportSpan);
 	return message;
 }
 
-void Gossiper::describeContent(GossipMessage& _message, Micros _now) const
+void Gossiper::setContentState(GossipMessage& _message, Micros _now) const
 {
 	_message.storeRevision = m_context.directory.revision();
 	_message.configVersion = m_context.directory.config() ? m_context.directory.config()->version : 0;
@@ -115,9 +119,9 @@
 	return sums;
 }
 
-GossipMessage Gossiper::describe(Micros _now) const
+GossipMessage Gossiper::makeReport(Micros _now) const
 {
-	GossipMessage message = describeSender(_now);
+	GossipMessage message = makeMessage(_now);
 	FleetSums own = ownSums();
 	message.loads = std::move(own.loads);
 	message.demand = std::move(own.demand);
@@ -129,7 +133,7 @@
 void Gossiper::tick()
 {
 	const Micros now = monotonicNow();
-	reportDelay(now);
+	recordLoopDelay(now);
 	logLeavingNotices();
 	logQuotaGaps();
 	logQuotaTallies(now);
@@ -142,7 +146,8 @@
 	m_context.admission.setGrantors(m_context.relays.allHeads());
 	logGrantorNotices();
 	m_context.retryBudget.setMembers(members);
-	m_context.balancer.setPeerLoadLife(std::max(kSecond, kLoadPatience * GossipPlan::hearingSpan(members)));
+	m_context.balancer.setPeerLoadLife(
+		std::max(kSecond, kPeerLoadLifetimeFactor * GossipPlan::hearingSpan(members)));
 	m_context.balancer.setManyGateways(m_context.usesCollectors());
 	m_context.balancer.expirePeerLoads(now);
 	if (m_context.usesCollectors())
@@ -195,11 +200,11 @@
 
 void Gossiper::logQuotaTallies(Micros _now)
 {
-	if (_now - m_talliesLogged < kTallySpan)
+	if (_now - m_talliesLoggedAt < kTallyLogInterval)
 	{
 		return;
 	}
-	m_talliesLogged = _now;
+	m_talliesLoggedAt = _now;
 	for (const QuotaTally& tally : m_context.quotas.takeTallies(_now))
 	{
 		std::string refused;
@@ -229,7 +234,7 @@
 	}
 }
 
-void Gossiper::reportDelay(Micros _now)
+void Gossiper::recordLoopDelay(Micros _now)
 {
 	if (m_due == kNever)
 	{
@@ -237,7 +242,7 @@
 	}
 	const Micros delay = std::max<Micros>(0, _now - m_due);
 	m_context.metrics.onLoopDelay(delay);
-	if (delay > kLoopDelayLogged)
+	if (delay > kMinLoggedLoopDelay)
 	{
 		logEvent(LogLevel::Warning, "loop-delayed",
 				 {{"ms", millisText(delay)}, {"open", std::to_string(m_context.openExchanges)}});
@@ -263,11 +268,11 @@
 	const bool crowded = known.size() > limits::kGossipPeers;
 	const std::vector<std::string> targets =
 		GossipPlan::targets(std::move(known), holder, limits::kGossipPeers, m_context.random);
-	GossipMessage whole = describe(_now);
-	whole.members = m_context.peers.heardHosts(_now);
+	GossipMessage report = makeReport(_now);
+	report.members = m_context.peers.heardHosts(_now);
 	for (const std::string& host : targets)
 	{
-		GossipMessage message = whole;
+		GossipMessage message = report;
 		const GossipParts parts = GossipPlan::partsFor(host, holder, crowded, m_round);
 		if (!parts.usage)
 		{
@@ -289,48 +294,48 @@
 	return young ? m_context.quotas.levelsToTell(_now) : std::vector<QuotaLevel>();
 }
 
-bool Gossiper::collects() const
+bool Gossiper::isCollector() const
 {
 	const auto heads = m_context.relays.heads(m_context.settings.dataCentre, RelayChoice::kHeads);
 	return std::find(heads.begin(), heads.end(), m_context.settings.callers.host) != heads.end();
 }
 
-bool Gossiper::tellsAll(const std::vector<std::string>& _collectors)
+bool Gossiper::mustListAllTeams(const std::vector<std::string>& _collectors)
 {
-	std::map<std::string, std::uint64_t> runs;
+	std::map<std::string, std::uint64_t> incarnations;
 	for (const std::string& host : _collectors)
 	{
 		const auto peer = m_context.peers.peers().find(host);
-		runs[host] = peer == m_context.peers.peers().end() ? 0 : peer->second.incarnation;
+		incarnations[host] = peer == m_context.peers.peers().end() ? 0 : peer->second.incarnation;
 	}
-	if (runs != m_collectorRuns)
+	if (incarnations != m_collectorIncarnations)
 	{
-		// The first report to a collector is not known to be new, and one of those after it may get lost.
-		m_collectorRuns = std::move(runs);
-		m_tellAllUntil = m_round + kRepeated;
+		// A collector cannot tell that the first report is new, and one of the next ones may be lost.
+		m_collectorIncarnations = std::move(incarnations);
+		m_listAllTeamsUntil = m_round + kRepeatRounds;
 	}
-	return m_round < m_tellAllUntil || m_round % kWholeEvery == 0;
+	return m_round < m_listAllTeamsUntil || m_round % kRoundsPerFullReport == 0;
 }
 
-void Gossiper::leaveOutUnchanged(GossipMessage& _report, bool _whole)
+void Gossiper::omitUnchangedQuotas(GossipMessage& _report, bool _full)
 {
-	std::vector<QuotaReport> told;
+	std::vector<QuotaReport> kept;
 	for (const QuotaReport& quota : _report.quotas)
 	{
-		auto& [taken, round] = m_reported[quota.team];
+		auto& [taken, round] = m_lastReported[quota.team];
 		if (quota.taken != taken)
 		{
 			taken = quota.taken;
 			round = m_round;
 		}
-		const bool everTaken = quota.taken > 0.0;
-		if (everTaken && (_whole || m_round - round < kRepeated))
+		const bool nonZero = quota.taken > 0.0;
+		if (nonZero && (_full || m_round - round < kRepeatRounds))
 		{
-			told.push_back(quota);
+			kept.push_back(quota);
 		}
 	}
-	_report.quotas = std::move(told);
-	_report.whole = _whole;
+	_report.quotas = std::move(kept);
+	_report.whole = _full;
 }
 
 void Gossiper::sendToCollectors(Micros _now)
@@ -339,18 +344,18 @@
 	watchCollectors(_now);
 	const std::string& dataCentre = m_context.settings.dataCentre;
 	const auto heads = m_context.relays.heads(dataCentre, RelayChoice::kHeads);
-	const bool collecting = collects();
-	GossipMessage report = describe(_now);
+	const bool collector = isCollector();
+	GossipMessage report = makeReport(_now);
 	m_follower.onReported(_now, ownSums());
-	if (collecting)
+	if (collector)
 	{
 		m_table.onReport(report, _now);
 	}
-	const bool whole = tellsAll(heads);
+	const bool full = mustListAllTeams(heads);
 	m_collectors = heads;
-	leaveOutUnchanged(report, whole);
+	omitUnchangedQuotas(report, full);
 	const std::uint64_t window = m_context.currentWindow(_now);
-	const std::uint64_t windowsBack = whole ? kUsageWindowsBack : m_round % kRepeated == 0 ? 1 : 0;
+	const std::uint64_t windowsBack = full ? kUsageWindowsBack : m_round % kRepeatRounds == 0 ? 1 : 0;
 	report.usage = m_context.usage.ownCounts(window - std::min(window, windowsBack));
 	for (const std::string& host : heads)
 	{
@@ -358,15 +363,15 @@
 		{
 			continue;
 		}
-		report.wantsSums = !collecting && host == heads.front();
+		report.wantsSums = !collector && host == heads.front();
 		report.echo = m_context.peers.echoFor(host);
 		send(report, host);
-		if (collecting || report.wantsSums)
+		if (collector || report.wantsSums)
 		{
 			m_watch.onAsked(host, _now);
 		}
 	}
-	if (m_round % kProbedEvery == 0)
+	if (m_round % kRoundsPerSilentProbe == 0)
 	{
 		report.wantsSums = false;
 		for (const std::string& host : m_context.relays.silentHeads(dataCentre))
@@ -375,7 +380,7 @@
 			send(report, host);
 		}
 	}
-	if (collecting && heads.front() == m_context.settings.callers.host)
+	if (collector && heads.front() == m_context.settings.callers.host)
 	{
 		sendCentreSums(_now);
 	}
@@ -397,7 +402,7 @@
 
 void Gossiper::sendCentreSums(Micros _now)
 {
-	GossipMessage message = describeSender(_now);
+	GossipMessage message = makeMessage(_now);
 	FleetSums sums = m_table.centreSums();
 	message.kind = GossipKind::CentreSums;
 	message.wallClock = m_context.clock.trueTime(_now);
@@ -426,7 +431,7 @@
 			m_watch.onAsked(host, _now);
 			m_collectors.push_back(host);
 		}
-		if (m_round % kProbedEvery == 0)
+		if (m_round % kRoundsPerSilentProbe == 0)
 		{
 			const auto silent = m_context.relays.silentHeads(dataCentre);
 			targets.insert(silent.begin(), silent.end());
--- a/src/gateway/gossiper.h
+++ b/src/gateway/gossiper.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Sends this gateway's state to its peers in datagrams, and takes in theirs.
+/// Exchanges the state of the gateways in datagrams.
 
 #ifndef BEACONGATE_GATEWAY_GOSSIPER_H
 #define BEACONGATE_GATEWAY_GOSSIPER_H
@@ -22,27 +22,28 @@
 
 namespace beacongate
 {
-/// Talks to peers. In a small fleet each gateway tells each other one of itself. In a larger one it reports to the
-/// first gateways of its data centre, the collectors; the first of them answers with the fleet's sums, and
-/// exchanges the sums of its data centre with the collectors of the others.
+/// Sends reports to peers and receives theirs. In a small fleet each gateway reports to every other one. In a
+/// larger fleet each reports to the first-ranked gateways of its data centre, the collectors. The first collector
+/// answers with the sums of the fleet, and exchanges the sums of its data centre with the collectors of the other
+/// data centres.
 class Gossiper
 {
 public:
-	/// @throws Error SettingInvalid where the port cannot be bound.
+	/// @throws Error SettingInvalid if the port cannot be bound.
 	explicit Gossiper(GatewayContext& _context);
 
-	/// Begins to send and receive.
+	/// Starts sending and receiving.
 	void init();
 
-	/// Stops.
+	/// Stops sending and receiving.
 	void shutdown();
 
 private:
 	void tick();
-	void reportDelay(Micros _now);
+	void recordLoopDelay(Micros _now);
 	void logLeavingNotices();
 	void logQuotaGaps();
-	/// Tells once a second what became of the requests of teams of which some were refused.
+	/// Logs once a second the admission counts of each team that had requests refused.
 	void logQuotaTallies(Micros _now);
 	void sendToPeers(Micros _now);
 	void sendToCollectors(Micros _now);
@@ -56,54 +57,57 @@
 	void receive();
 	void readDatagrams();
 	void onDatagram(std::string_view _bytes, const std::string& _sender);
-	/// Counts a datagram that is none of a format that is read, and logs the first ones.
+	/// Counts a datagram of an unknown format, and logs some of them.
 	void onUnreadable(const std::string& _sender);
 	void onReport(const GossipMessage& _message, bool _fresh, Micros _now);
 	void onCentreSums(const GossipMessage& _message, Micros _now);
 	void onFleetSums(const GossipMessage& _message, Micros _now);
 	void answerWithEcho(const std::string& _host, Micros _now);
 	void answerWithSums(const std::string& _host, Micros _now);
-	void takeCounters(const std::string& _source, const GossipMessage& _message, Micros _uptime, Micros _now);
-	/// @returns since when the counters of sums are news, as the span for which their teller has been counting.
-	Micros countingSince(const std::string& _group, const std::string& _source, Micros _uptime) const;
+	void applyCounters(const std::string& _source, const GossipMessage& _message, Micros _countingSpan,
+					   Micros _now);
+	/// @returns for how long the sender of sums has been counting, if its counters are new information; kNever if
+	/// they replace another sender's.
+	Micros newCountsSpan(const std::string& _group, const std::string& _source, Micros _uptime) const;
 
-	/// @returns what a host is told of the teams' buckets.
+	/// @returns the levels of the teams' buckets to be sent to a host; empty if the host is past its start.
 	std::vector<QuotaLevel> levelsFor(const std::string& _host, Micros _now) const;
-	/// @returns whether this gateway is a collector of its data centre.
-	bool collects() const;
-	/// @returns a message with what every message says of its sender.
-	GossipMessage describeSender(Micros _now) const;
-	/// Says which content this gateway holds and how old that is, both as of one moment.
-	void describeContent(GossipMessage& _message, Micros _now) const;
+	/// @returns true if this gateway is a collector of its data centre.
+	bool isCollector() const;
+	/// @returns a message with the fields that every message has about its sender.
+	GossipMessage makeMessage(Micros _now) const;
+	/// Sets which content this gateway holds and its age, both at the same moment.
+	void setContentState(GossipMessage& _message, Micros _now) const;
 	/// @returns a report of this gateway.
-	GossipMessage describe(Micros _now) const;
-	/// @returns all own counters and loads.
+	GossipMessage makeReport(Micros _now) const;
+	/// @returns this gateway's own counters and loads.
 	FleetSums ownSums() const;
-	/// @returns whether a report to these collectors has to name all teams.
-	bool tellsAll(const std::vector<std::string>& _collectors);
-	/// Leaves out quotas that did not change of late.
-	void leaveOutUnchanged(GossipMessage& _report, bool _whole);
+	/// @returns true if a report to these collectors must list all teams.
+	bool mustListAllTeams(const std::vector<std::string>& _collectors);
+	/// Removes the quotas that have not changed recently, unless the report is to be full.
+	void omitUnchangedQuotas(GossipMessage& _report, bool _full);
 
 	GatewayContext& m_context;
 	boost::asio::ip::udp::socket m_socket;
 	boost::asio::steady_timer m_timer;
 	std::vector<char> m_buffer;
 	std::size_t m_round = 0;
-	Micros m_due = kNever; ///< When the next round should begin.
-	Micros m_talliesLogged = kLongAgo;
+	Micros m_due = kNever; ///< When the next round is due.
+	Micros m_talliesLoggedAt = kLongAgo;
 	FleetTable m_table;
 	FleetFollower m_follower;
-	/// The sums that reports are answered with, and when they were made.
+	/// The sums that reports are answered with, and when they were computed.
 	GossipMessage m_sums;
-	Micros m_sumsMade = kLongAgo;
-	/// What a report last said of a team, and in which round that changed.
-	std::map<std::string, std::pair<double, std::size_t>> m_reported;
-	std::vector<std::string> m_collectors; ///< That were spoken to in the last round, also of other data centres.
-	/// Their runs, as far as they were heard, and the round until which they are told of all teams.
-	std::map<std::string, std::uint64_t> m_collectorRuns;
-	std::size_t m_tellAllUntil = 0;
+	Micros m_sumsComputedAt = kLongAgo;
+	/// The amount that a report last gave for a team, and the round in which it changed.
+	std::map<std::string, std::pair<double, std::size_t>> m_lastReported;
+	std::vector<std::string> m_collectors; ///< Collectors addressed in the last round, in all data centres.
+	/// Incarnations of the collectors (0: not heard yet), and the round until which reports to them list all
+	/// teams.
+	std::map<std::string, std::uint64_t> m_collectorIncarnations;
+	std::size_t m_listAllTeamsUntil = 0;
 	CollectorWatch m_watch;
-	std::uint64_t m_unreadable = 0; ///< Datagrams.
+	std::uint64_t m_unreadableCount = 0; ///< Datagrams of an unknown format since the start.
 };
 
 } // namespace beacongate
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// The half of a gossiper that takes datagrams in and answers reports.
+// The part of Gossiper that receives datagrams and answers reports.
 
 #include "daemon/clock.h"
 #include "daemon/logging.h"
@@ -20,12 +20,12 @@
 
 namespace
 {
-constexpr Micros kMostContentAge = 3600 * kSecond; ///< A peer whose content is older has none of use.
-/// Sums are made anew after this long; in between, all reports are answered with the same.
-constexpr Micros kSumsLife = 50 * kMillisecond;
-/// So many unreadable datagrams are logged, then each kUnreadableLogStep-th: gateways that are not understood send
+constexpr Micros kMaxContentAge = 3600 * kSecond; ///< The content of a peer is ignored if it is older.
+/// Sums are computed again after this time; all reports in between get the same ones.
+constexpr Micros kSumsCacheTime = 50 * kMillisecond;
+/// This many unreadable datagrams are logged, then every kUnreadableLogStep-th: gateways of an unknown format send
 /// several a second.
-constexpr std::uint64_t kUnreadableLogged = 10;
+constexpr std::uint64_t kMaxUnreadableLogged = 10;
 constexpr std::uint64_t kUnreadableLogStep = 1000;
 } // namespace
 
@@ -59,12 +59,12 @@
 
 void Gossiper::onUnreadable(const std::string& _sender)
 {
-	++m_unreadable;
+	++m_unreadableCount;
 	m_context.metrics.onDatagramUnreadable();
-	if (m_unreadable <= kUnreadableLogged || m_unreadable % kUnreadableLogStep == 0)
+	if (m_unreadableCount <= kMaxUnreadableLogged || m_unreadableCount % kUnreadableLogStep == 0)
 	{
 		logEvent(LogLevel::Warning, "datagram-unreadable",
-				 {{"from", _sender}, {"count", std::to_string(m_unreadable)}});
+				 {{"from", _sender}, {"count", std::to_string(m_unreadableCount)}});
 	}
 }
 
@@ -112,7 +112,7 @@
 	const Micros now = monotonicNow();
 	const bool fresh = m_context.peers.onMessage(*message, now);
 	m_context.relays.onHeard(message->host, now);
-	// Counts only grow, so they hold however late they come.
+	// Counts only grow, so they are valid even if they arrive late.
 	for (const UsageCount& count : message->usage)
 	{
 		m_context.usage.onReport(message->run, count);
@@ -151,28 +151,30 @@
 	{
 		m_context.directory.markDraining(backend, LeavingSign::Peer, now);
 	}
-	if (config && config->version < message->configVersion && m_context.onNewsFromPeer)
+	if (config && config->version < message->configVersion && m_context.onNewerConfigAtPeer)
 	{
-		m_context.onNewsFromPeer();
+		m_context.onNewerConfigAtPeer();
 	}
-	else if (message->contentAge < kMostContentAge && m_context.onPeerHolds)
+	else if (message->contentAge < kMaxContentAge && m_context.onPeerContentState)
 	{
-		m_context.onPeerHolds(message->contentFingerprint, message->echo - message->contentAge);
+		m_context.onPeerContentState(message->contentFingerprint, message->echo - message->contentAge);
 	}
 }
 
-Micros Gossiper::countingSince(const std::string& _group, const std::string& _source, Micros _uptime) const
+Micros Gossiper::newCountsSpan(const std::string& _group, const std::string& _source, Micros _uptime) const
 {
-	// The collector before has told what this one counted too. Taken for news, everything that was taken since the
-	// start of a young fleet counted twice: a level of -78 requests where the burst is 60 (soak of 18 gateways).
+	// The previous collector has already reported what this one counted. If it were added as new, everything taken
+	// since the start of a young fleet would be counted twice: a level of -78 requests with a burst of 60 in a
+	// soak of 18 gateways.
 	return m_context.quotas.word().replacesAnother(_group, _source) ? kNever : _uptime;
 }
 
-void Gossiper::takeCounters(const std::string& _source, const GossipMessage& _message, Micros _uptime, Micros _now)
+void Gossiper::applyCounters(const std::string& _source, const GossipMessage& _message, Micros _countingSpan,
+							 Micros _now)
 {
 	for (const QuotaReport& report : _message.quotas)
 	{
-		m_context.quotas.onReport(_source, _message.run.incarnation, report, _now, _uptime);
+		m_context.quotas.onReport(_source, _message.run.incarnation, report, _now, _countingSpan);
 	}
 	for (const DemandReport& report : _message.demand)
 	{
@@ -182,24 +184,24 @@
 
 void Gossiper::onReport(const GossipMessage& _message, bool _fresh, Micros _now)
 {
-	const bool byCollectors = m_context.usesCollectors();
-	const bool collecting = byCollectors && collects();
-	if (_fresh && (collecting || !byCollectors))
+	const bool toCollectors = m_context.usesCollectors();
+	const bool collector = toCollectors && isCollector();
+	if (_fresh && (collector || !toCollectors))
 	{
-		const bool counted = !collecting || m_table.onReport(_message, _now);
+		const bool counted = !collector || m_table.onReport(_message, _now);
 		if (counted)
 		{
-			takeCounters(_message.host, _message, _message.uptime, _now);
+			applyCounters(_message.host, _message, _message.uptime, _now);
 			m_context.quotas.onHeard(_message.host, _now, _message.echo);
 			m_context.quotas.adopt(_message.levels, _now);
 		}
 		m_context.balancer.setPeerLoads(_message.host, _message.loads, _now);
 	}
-	if (collecting && _message.wantsSums)
+	if (collector && _message.wantsSums)
 	{
 		answerWithSums(_message.host, _now);
 	}
-	else if (collecting)
+	else if (collector)
 	{
 		answerWithEcho(_message.host, _now);
 	}
@@ -207,20 +209,20 @@
 
 void Gossiper::onCentreSums(const GossipMessage& _message, Micros _now)
 {
-	if (!collects() || _message.dataCentre == m_context.settings.dataCentre ||
+	if (!isCollector() || _message.dataCentre == m_context.settings.dataCentre ||
 		!m_table.onCentreSums(_message, _now))
 	{
 		return;
 	}
 	const std::string source = _message.dataCentre + '/' + _message.host;
-	takeCounters(source, _message, countingSince(_message.dataCentre, source, _message.uptime), _now);
+	applyCounters(source, _message, newCountsSpan(_message.dataCentre, source, _message.uptime), _now);
 	m_context.quotas.onSums(_message.dataCentre, source, _now, _message.echo, _message.gateways);
 	m_context.balancer.setPeerLoads(_message.dataCentre, _message.loads, _now);
 }
 
 void Gossiper::onFleetSums(const GossipMessage& _message, Micros _now)
 {
-	if (collects())
+	if (isCollector())
 	{
 		return;
 	}
@@ -233,7 +235,7 @@
 	rest.quotas = std::move(others->quotas);
 	rest.demand = std::move(others->demand);
 	const std::string source = "fleet/" + _message.host;
-	takeCounters(source, rest, countingSince("fleet", source, _message.uptime), _now);
+	applyCounters(source, rest, newCountsSpan("fleet", source, _message.uptime), _now);
 	m_context.quotas.onSums("fleet", source, _now, _message.echo, others->gateways);
 	m_context.quotas.adopt(_message.levels, _now);
 	m_context.balancer.setPeerLoads("fleet", std::move(others->loads), _now);
@@ -241,9 +243,9 @@
 
 void Gossiper::answerWithEcho(const std::string& _host, Micros _now)
 {
-	// Without it, the second collector held no report for new: as the holder of the duties it saw the work of one
-	// gateway of 295 and ordered 5 engines where 110 were at work.
-	GossipMessage echo = describeSender(_now);
+	// Without an echo the second collector treats no report as new. As the duty holder it then saw the work of one
+	// gateway of 295 and ordered 5 engines instead of 110.
+	GossipMessage echo = makeMessage(_now);
 	echo.kind = GossipKind::Echo;
 	echo.echo = m_context.peers.echoFor(_host);
 	send(echo, _host);
@@ -251,24 +253,24 @@
 
 void Gossiper::answerWithSums(const std::string& _host, Micros _now)
 {
-	if (_now - m_sumsMade > kSumsLife)
+	if (_now - m_sumsComputedAt > kSumsCacheTime)
 	{
 		m_table.expire(_now);
 		FleetSums sums = m_table.fleetSums();
-		m_sums = describeSender(_now);
+		m_sums = makeMessage(_now);
 		m_sums.kind = GossipKind::FleetSums;
 		m_sums.gateways = sums.gateways;
 		m_sums.quotas = std::move(sums.quotas);
 		m_sums.demand = std::move(sums.demand);
 		m_sums.loads = std::move(sums.loads);
-		m_sumsMade = _now;
+		m_sumsComputedAt = _now;
 	}
-	// Ages and clocks are of this moment, whenever the sums were made, and so is what they are the ages of: with
-	// the fingerprint of content that had been replaced since, it was confirmed for a moment 0.47 s too late in a
-	// test.
+	// Ages, clocks and the content they describe must be of the same moment, although the sums may be older. With
+	// the fingerprint of content that had been replaced meanwhile, a gateway confirmed that content for a moment
+	// 0.47 s too late in a test.
 	m_sums.sent = _now;
 	m_sums.wallClock = m_context.clock.trueTime(_now);
-	describeContent(m_sums, _now);
+	setContentState(m_sums, _now);
 	m_sums.echo = m_context.peers.echoFor(_host);
 	m_sums.levels = levelsFor(_host, _now);
 	send(m_sums, _host);
--- a/src/gateway/memberkeys.h
+++ b/src/gateway/memberkeys.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The keys that gateways keep in the store.
+/// The keys that gateways write in the store.
 
 #ifndef BEACONGATE_GATEWAY_MEMBERKEYS_H
 #define BEACONGATE_GATEWAY_MEMBERKEYS_H
@@ -18,21 +18,22 @@
 
 namespace beacongate
 {
-inline constexpr std::string_view kMemberPrefix = "beacongate/members/"; ///< Then the name; the value is a record.
-inline constexpr std::string_view kUsagePrefix = "beacongate/usage/";    ///< Then the window's number.
-inline constexpr const char* kHolderKey = "beacongate/holder";           ///< Leased to the holder of the duties.
-inline constexpr const char* kFenceKey = "beacongate/fence";             ///< The holder's fencing token.
+/// The gateway's name follows; the value is a MemberRecord.
+inline constexpr std::string_view kMemberPrefix = "beacongate/members/";
+inline constexpr std::string_view kUsagePrefix = "beacongate/usage/"; ///< The window's number follows.
+inline constexpr const char* kHolderKey = "beacongate/holder";        ///< Held under the lease of the duty holder.
+inline constexpr const char* kFenceKey = "beacongate/fence";          ///< The holder's fencing token.
 
-inline constexpr const char* kLevelsKey = "beacongate/levels"; ///< What is left of the teams' quotas.
+inline constexpr const char* kLevelsKey = "beacongate/levels"; ///< Levels of the teams' quotas.
 inline constexpr const char* kCountsKey = "beacongate/counts"; ///< Usage counts of all gateways.
 
-/// @returns whether a key registers a gateway.
+/// @returns true if a key registers a gateway.
 inline bool isMemberKey(std::string_view _key)
 {
 	return _key.substr(0, kMemberPrefix.size()) == kMemberPrefix;
 }
 
-/// @returns whether a key holds what the holder of the duties writes down for its successor, and nobody routes by.
+/// @returns true if a key holds a record of the duty holder for its successor, by which nothing is routed.
 inline bool isBookkeepingKey(std::string_view _key)
 {
 	return _key == kLevelsKey || _key == kCountsKey || _key == kFenceKey ||
@@ -45,14 +46,13 @@
 	return std::string(kMemberPrefix) + _name;
 }
 
-/// @returns the value that registers a gateway: its host, its data centre and its processor time, with spaces
-/// between.
+/// @returns the value that registers a gateway: its host, its data centre and its CPU share, separated by spaces.
 inline std::string encodeMember(const MemberRecord& _member)
 {
 	return _member.host + ' ' + _member.dataCentre + ' ' + std::to_string(_member.cpuPercent);
 }
 
-/// @returns the record in a value; fields that are missing or unreadable stay empty.
+/// @returns the record in a value; missing or invalid fields stay empty.
 inline MemberRecord decodeMember(const std::string& _value)
 {
 	MemberRecord record;
@@ -61,7 +61,7 @@
 	return record;
 }
 
-/// @returns where the holder of the duties is reached; nothing where the content does not say.
+/// @returns the host of the duty holder; nothing if the content does not give it.
 inline std::optional<std::string> holderHost(const StoreContent& _content)
 {
 	const auto holder = _content.items.find(kHolderKey);
@@ -74,7 +74,7 @@
 	return member == _content.items.end() ? std::nullopt : std::optional(decodeMember(member->second.value).host);
 }
 
-/// @returns the key under which a window's counts are fixed.
+/// @returns the key that holds the final counts of a window.
 inline std::string usageKey(std::uint64_t _window)
 {
 	return std::string(kUsagePrefix) + std::to_string(_window);
--- a/src/gateway/ownanswers.cpp
+++ b/src/gateway/ownanswers.cpp
@@ -19,8 +19,8 @@
 }
 } // namespace
 
-HttpAnswer makeOwnAnswer(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter,
-						 HttpHeaders _headers)
+HttpAnswer makeErrorAnswer(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter,
+						   HttpHeaders _headers)
 {
 	HttpAnswer answer;
 	answer.status = _status;
--- a/src/gateway/ownanswers.h
+++ b/src/gateway/ownanswers.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Answers that a gateway gives itself.
+/// Error answers that a gateway generates itself.
 
 #ifndef BEACONGATE_GATEWAY_OWNANSWERS_H
 #define BEACONGATE_GATEWAY_OWNANSWERS_H
@@ -14,10 +14,10 @@
 
 namespace beacongate
 {
-/// Makes a problem document.
-/// @param[in] retryAfter When the caller may come again; 0 where nothing is said of it.
-HttpAnswer makeOwnAnswer(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter,
-						 HttpHeaders _headers = {});
+/// Makes an error answer with a problem document.
+/// @param[in] _retryAfter Value of Retry-After; 0 omits the header.
+HttpAnswer makeErrorAnswer(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter,
+						   HttpHeaders _headers = {});
 
 } // namespace beacongate
 
--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -14,19 +14,19 @@
 {
 namespace
 {
-constexpr unsigned kTooManyCalls = 429; ///< All gateways together ask too often: the store is well.
+constexpr unsigned kTooManyRequests = 429; ///< All gateways together call too often; the store itself is healthy.
 } // namespace
 
 RangeReader::RangeReader(boost::asio::io_context& _loop, StoreContact& _contact, const Address& _store,
-						 std::string _prefix, Micros _longest)
+						 std::string _prefix, Micros _pageTimeout)
 	: m_contact(_contact), m_channel(std::make_shared<HttpChannel>(_loop, _store, limits::kSnapshotBytes)),
-	  m_prefix(std::move(_prefix)), m_longest(_longest)
+	  m_prefix(std::move(_prefix)), m_pageTimeout(_pageTimeout)
 {
 }
 
-void RangeReader::read(Micros _silence, Handler _handler)
+void RangeReader::read(Micros _idleTimeout, Handler _handler)
 {
-	m_silence = _silence;
+	m_idleTimeout = _idleTimeout;
 	m_handler = std::move(_handler);
 	m_content = {};
 	m_content.confirmed = monotonicNow();
@@ -37,9 +37,9 @@
 {
 	m_closed = true;
 	m_channel->close();
-	if (m_asked != kNever)
+	if (m_requestedAt != kNever)
 	{
-		m_contact.onGivenUp(std::exchange(m_asked, kNever), monotonicNow());
+		m_contact.onGivenUp(std::exchange(m_requestedAt, kNever), monotonicNow());
 	}
 	m_handler = nullptr;
 }
@@ -47,15 +47,15 @@
 void RangeReader::readPage(const std::string& _afterKey)
 {
 	ChannelRequest request = platform::rangeCall(m_prefix, _afterKey);
-	request.longest = m_longest;
+	request.longest = m_pageTimeout;
 	request.onProgress = [this]
 	{
-		// The channel is closed before this reader goes, and calls nothing from then on.
+		// The channel is closed before this reader is destroyed, and calls nothing afterwards.
 		m_contact.onHeard(monotonicNow());
 	};
-	m_asked = monotonicNow();
-	m_contact.onAsked(m_asked);
-	m_channel->call(std::move(request), m_silence,
+	m_requestedAt = monotonicNow();
+	m_contact.onAsked(m_requestedAt);
+	m_channel->call(std::move(request), m_idleTimeout,
 					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
 					{
 						if (!self->m_closed)
@@ -69,8 +69,8 @@
 {
 	const Micros now = monotonicNow();
 	const std::optional<KvPage> page = platform::readRange(_answer);
-	const bool busy = _answer && _answer->status == kTooManyCalls;
-	const Micros asked = std::exchange(m_asked, kNever);
+	const bool busy = _answer && _answer->status == kTooManyRequests;
+	const Micros asked = std::exchange(m_requestedAt, kNever);
 	if (page)
 	{
 		m_fault = ChannelFault::None;
@@ -102,8 +102,8 @@
 		kept = item;
 		if (platform::backendIdOf(item) && item.value.size() > limits::kBackendRecordBytes)
 		{
-			// Another writer may lay a megabyte under each key: without its value, it is refused as it would be
-			// with it, and neither memory nor the updates for other gateways grow.
+			// Another writer may store a megabyte under each key. Without its value the record is refused just the
+			// same, and neither memory nor the updates for other gateways grow.
 			kept.value.clear();
 		}
 	}
--- a/src/gateway/rangereader.h
+++ b/src/gateway/rangereader.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Reads all keys of the store that begin alike, page by page.
+/// Reads all keys of the store with a common prefix, page by page.
 
 #ifndef BEACONGATE_GATEWAY_RANGEREADER_H
 #define BEACONGATE_GATEWAY_RANGEREADER_H
@@ -20,35 +20,37 @@
 
 namespace beacongate
 {
-/// One read at a time on a connection of its own; what it shows of the store is told to a StoreContact.
+/// Performs one read at a time on its own connection, and reports to the store's reachability tracker what the
+/// read shows.
 class RangeReader : public std::enable_shared_from_this<RangeReader>
 {
 public:
-	/// Gets the content at the revision of its first page, confirmed when the read was sent; nothing where it
-	/// failed.
+	/// Receives the content at the revision of its first page, confirmed when the read was sent; nothing if the
+	/// read failed.
 	using Handler = std::function<void(std::optional<StoreContent>)>;
 
-	/// @param[in] _longest A page that is not whole after this span has failed.
+	/// @param[in] _pageTimeout A page that is not complete after this span has failed.
 	RangeReader(boost::asio::io_context& _loop, StoreContact& _contact, const Address& _store, std::string _prefix,
-				Micros _longest);
+				Micros _pageTimeout);
 
-	/// Begins to read. Nothing else may be being read.
-	/// @param[in] _silence A page that brings no bytes for this long has failed.
-	void read(Micros _silence, Handler _handler);
+	/// Starts a read. No other read may be running.
+	/// @param[in] _idleTimeout A page that receives no bytes for this long has failed.
+	void read(Micros _idleTimeout, Handler _handler);
 
-	/// @returns whether bytes of a page are coming.
+	/// @returns true if bytes of a page are being received.
 	bool receiving() const
 	{
 		return m_channel->receiving();
 	}
 
-	/// @returns why the last read failed; for its handler. An answer that is no page counts as turned away.
+	/// @returns why the last read failed; to be called by its handler. An answer that is not a page counts as
+	/// TurnedAway.
 	ChannelFault fault() const
 	{
 		return m_fault;
 	}
 
-	/// Ends all calls; no handler is called any more.
+	/// Ends all calls; no handler is called afterwards.
 	void close();
 
 private:
@@ -59,9 +61,9 @@
 	StoreContact& m_contact;
 	std::shared_ptr<HttpChannel> m_channel;
 	std::string m_prefix;
-	Micros m_silence = 0;
-	Micros m_longest;
-	Micros m_asked = kNever; ///< When the page was asked for that has not come yet.
+	Micros m_idleTimeout = 0;
+	Micros m_pageTimeout;
+	Micros m_requestedAt = kNever; ///< When the page that is still awaited was requested.
 	StoreContent m_content;
 	Handler m_handler;
 	ChannelFault m_fault = ChannelFault::None;
--- a/src/gateway/registration.cpp
+++ b/src/gateway/registration.cpp
@@ -10,10 +10,11 @@
 {
 namespace
 {
-/// A gateway that ends without a word stays listed this long: its share of quotas and of the retry budget is left
-/// to it meanwhile, and its peers pass it over by its silence.
+/// A gateway that ends without notice stays registered for this long. Meanwhile it keeps its share of quotas and
+/// of the retry budget, and its peers skip it because it is silent.
 constexpr Micros kLeaseSpan = 40 * kSecond;
-/// Three renewals fit into the span. Each is a call to the store, from every gateway: 20 a second with 295 of them.
+/// Two renewals may fail within the lease. Each renewal is a call to the store from every gateway: 20 a second
+/// with 295 of them.
 constexpr Micros kRenewInterval = 15 * kSecond;
 constexpr Micros kRetryInterval = 1 * kSecond;
 constexpr Micros kCallTimeout = 1 * kSecond;
@@ -29,7 +30,7 @@
 
 void Registration::init()
 {
-	openLease();
+	requestLease();
 }
 
 void Registration::shutdown()
@@ -51,11 +52,11 @@
 			}
 			if (self->m_lease == 0)
 			{
-				self->openLease();
+				self->requestLease();
 			}
-			else if (!self->m_written)
+			else if (!self->m_entryWritten)
 			{
-				self->write();
+				self->writeEntry();
 			}
 			else
 			{
@@ -64,7 +65,7 @@
 		});
 }
 
-void Registration::openLease()
+void Registration::requestLease()
 {
 	m_channel->call(platform::leaseCall(kLeaseSpan), kCallTimeout,
 					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
@@ -76,13 +77,13 @@
 							return;
 						}
 						self->m_lease = lease->id;
-						self->write();
+						self->writeEntry();
 					});
 }
 
-void Registration::write()
+void Registration::writeEntry()
 {
-	// A member's entry is its own alone: a put without a condition that is done late changes nothing.
+	// Only this gateway writes its entry, so a delayed put without a condition changes nothing.
 	KvTransaction change;
 	const MemberRecord record{m_context.settings.callers.host, m_context.settings.dataCentre,
 							  m_context.settings.cpuPercent};
@@ -91,12 +92,12 @@
 					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
 					{
 						const KvResult result = platform::readTransaction(_answer);
-						self->m_written = result.outcome == KvOutcome::Done;
+						self->m_entryWritten = result.outcome == KvOutcome::Done;
 						if (result.outcome == KvOutcome::LeaseGone)
 						{
 							self->m_lease = 0;
 						}
-						self->schedule(self->m_written ? kRenewInterval : kRetryInterval);
+						self->schedule(self->m_entryWritten ? kRenewInterval : kRetryInterval);
 					});
 }
 
@@ -109,7 +110,7 @@
 						if (renewal.gone)
 						{
 							self->m_lease = 0;
-							self->m_written = false;
+							self->m_entryWritten = false;
 						}
 						self->schedule(renewal.renewed ? kRenewInterval : kRetryInterval);
 					});
--- a/src/gateway/registration.h
+++ b/src/gateway/registration.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Keeps this gateway's own entry in the store, so that others find it.
+/// Keeps this gateway's own entry in the store, so that other gateways find it.
 
 #ifndef BEACONGATE_GATEWAY_REGISTRATION_H
 #define BEACONGATE_GATEWAY_REGISTRATION_H
@@ -16,29 +16,29 @@
 
 namespace beacongate
 {
-/// Registers under a lease and renews it.
+/// Registers the gateway under a lease and renews the lease.
 class Registration : public std::enable_shared_from_this<Registration>
 {
 public:
 	explicit Registration(GatewayContext& _context);
 
-	/// Begins to register.
+	/// Starts the registration.
 	void init();
 
-	/// Ends; the entry lapses with its lease.
+	/// Ends all calls; the entry expires with its lease.
 	void shutdown();
 
 private:
 	void schedule(Micros _span);
-	void openLease();
-	void write();
+	void requestLease();
+	void writeEntry();
 	void renew();
 
 	GatewayContext& m_context;
 	std::shared_ptr<HttpChannel> m_channel;
 	boost::asio::steady_timer m_timer;
 	std::uint64_t m_lease = 0;
-	bool m_written = false;
+	bool m_entryWritten = false;
 	bool m_closed = false;
 };
 
--- a/src/gateway/requestinfo.h
+++ b/src/gateway/requestinfo.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a gateway reads from, and adds to, the heads of messages that it forwards unread.
+/// What a gateway reads from the headers of the messages that it forwards, and what it sets there.
 
 #ifndef BEACONGATE_GATEWAY_REQUESTINFO_H
 #define BEACONGATE_GATEWAY_REQUESTINFO_H
@@ -16,20 +16,20 @@
 
 namespace beacongate
 {
-/// A caller's request as far as decisions need it.
+/// The fields of a caller's request on which decisions depend.
 struct RequestInfo
 {
-	std::string id; ///< Of this attempt of the caller; empty where there is none.
+	std::string id; ///< Id of this attempt of the caller; empty if the request has none.
 	std::string host;
-	std::string key; ///< Empty where there is none.
+	std::string key; ///< Empty if the request has none.
 	std::optional<Micros> deadline;
 	std::optional<std::uint64_t> promptTokens;
-	std::uint64_t outputTokens = 0; ///< Most that it generates.
+	std::uint64_t outputTokens = 0; ///< Largest number of tokens that it generates.
 	std::vector<PromptPart> parts;
-	std::string lastEventId; ///< Empty where the stream begins at its start.
+	std::string lastEventId; ///< Empty if the stream starts at its beginning.
 };
 
-/// What a gateway sets on a request that it forwards.
+/// Fields that a gateway sets on a forwarded request.
 struct ForwardFields
 {
 	Micros timeLeft = 0;
@@ -39,18 +39,18 @@
 	std::string lastEventId;
 };
 
-/// A backend server's answer as far as decisions need it.
+/// The fields of a backend server's answer on which decisions depend.
 struct AnswerInfo
 {
-	bool notExecuted = false; ///< It says that it did not run the request.
-	bool misdirected = false; ///< Another backend server has the address.
-	bool stamped = false;     ///< It carries the backend server's signature.
-	bool encoded = false;     ///< Its body is not in the form that was asked for.
-	bool leaving = false;     ///< It says that it takes no new work any more.
-	/// For how long it wants no request from this gateway; set where it turned one away and says so.
+	bool notExecuted = false; ///< The backend server did not run the request.
+	bool misdirected = false; ///< The address belongs to another backend server.
+	bool stamped = false;     ///< The answer carries the backend server's stamp.
+	bool encoded = false;     ///< The body has a content encoding.
+	bool leaving = false;     ///< The backend server accepts no new requests any more.
+	/// How long the backend server wants no requests; set if it rejected the request and gave a delay.
 	std::optional<Micros> backoff;
-	bool backoffUnreadable = false; ///< It says so in a form that is not understood.
-	std::string id;                 ///< The request that it answers.
+	bool backoffUnreadable = false; ///< The delay has an unknown format.
+	std::string id;                 ///< Id of the request to which the answer belongs.
 };
 
 } // namespace beacongate
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -20,36 +20,37 @@
 {
 namespace
 {
-constexpr Micros kReadInterval = 600 * kMillisecond; ///< With the next one, well within every bound on news.
-/// The relay is asked once the content was not confirmed for this long. In a large fleet, peers confirm it more
-/// often.
+/// Two of these are well within every bound on the delay of a change.
+constexpr Micros kReadInterval = 600 * kMillisecond;
+/// The relay is asked once the content has not been confirmed for this long. In a large fleet, peers confirm it
+/// more often.
 constexpr Micros kRelayInterval = 300 * kMillisecond;
-constexpr Micros kLookMin = 20 * kMillisecond;   ///< Between two looks at how old the content is.
-constexpr Micros kNextRelay = 20 * kMillisecond; ///< Between a relay that failed and the one after it.
-/// A relay that says nothing for this long has failed. It is a millisecond or two away and answers from memory.
+constexpr Micros kMinCheckInterval = 20 * kMillisecond; ///< Shortest time between two checks of the content's age.
+constexpr Micros kNextRelayDelay = 20 * kMillisecond;   ///< Delay before the next relay is asked after one failed.
+/// A relay that sends nothing for this long has failed. It is a millisecond or two away and answers from memory.
 constexpr Micros kRelayTimeout = 150 * kMillisecond;
-constexpr Micros kRelayAge = 1500 * kMillisecond;    ///< A relay that knows nothing newer than this is of no use.
-constexpr Micros kNewsInterval = 200 * kMillisecond; ///< Between two early reads.
-/// A read that brings no bytes for this long has failed; the store answers within 10 ms. It is longer after an
-/// answer that took long: with this span alone, a store that answers after a second brought no configuration at
-/// all.
-constexpr Micros kReadSilence = 900 * kMillisecond;
+/// The content of a relay is not used if it was confirmed longer ago.
+constexpr Micros kMaxRelayContentAge = 1500 * kMillisecond;
+constexpr Micros kMinRefreshInterval = 200 * kMillisecond; ///< Shortest time between two early reads.
+/// A read that receives no bytes for this long has failed; the store answers within 10 ms. After a slow answer the
+/// span is longer: with a fixed one, a store that answers after a second would never deliver a configuration.
+constexpr Micros kReadIdleTimeout = 900 * kMillisecond;
 constexpr Micros kRetryMin = 100 * kMillisecond;
 constexpr Micros kRetryMax = 600 * kMillisecond;
 constexpr Micros kWatchSpan = 5 * kSecond;
 constexpr Micros kWatchTimeout = kWatchSpan + kSecond;
 constexpr Micros kWatchRetry = 500 * kMillisecond;
 
-/// Of an item as the store sends it, besides its key and its value.
-constexpr std::uint64_t kItemBytes = 80;
+/// Size of an item as the store sends it, without its key and its value.
+constexpr std::uint64_t kItemOverheadBytes = 80;
 
-/// @returns bytes that a read of the content takes: values come in base64.
-std::uint64_t bytesToRead(const StoreContent& _content)
+/// @returns the size of a read of the content; values are sent in base64.
+std::uint64_t contentReadBytes(const StoreContent& _content)
 {
 	std::uint64_t bytes = 0;
 	for (const auto& [key, item] : _content.items)
 	{
-		bytes += key.size() + item.value.size() * 4 / 3 + kItemBytes;
+		bytes += key.size() + item.value.size() * 4 / 3 + kItemOverheadBytes;
 	}
 	return bytes;
 }
@@ -57,9 +58,9 @@
 } // namespace
 
 StoreSync::StoreSync(GatewayContext& _context)
-	: m_context(_context), m_reads(std::make_shared<RangeReader>(_context.loop, _context.storeContact,
-																 _context.settings.store, "", kReadLongest)),
-	  m_watches(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, limits::kSnapshotBytes)),
+	: m_context(_context), m_reader(std::make_shared<RangeReader>(_context.loop, _context.storeContact,
+																  _context.settings.store, "", kMaxReadDuration)),
+	  m_watchChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, limits::kSnapshotBytes)),
 	  m_readTimer(_context.loop), m_watchTimer(_context.loop), m_peerTimer(_context.loop)
 {
 }
@@ -67,7 +68,7 @@
 void StoreSync::init()
 {
 	read();
-	schedulePeers();
+	scheduleAskPeers();
 }
 
 void StoreSync::shutdown()
@@ -76,8 +77,8 @@
 	m_readTimer.cancel();
 	m_watchTimer.cancel();
 	m_peerTimer.cancel();
-	m_reads->close();
-	m_watches->close();
+	m_reader->close();
+	m_watchChannel->close();
 	if (m_peerChannel)
 	{
 		m_peerChannel->close();
@@ -91,11 +92,11 @@
 void StoreSync::refresh()
 {
 	const Micros now = monotonicNow();
-	if (m_closed || now - m_lastNews < kNewsInterval)
+	if (m_closed || now - m_lastRefresh < kMinRefreshInterval)
 	{
 		return;
 	}
-	m_lastNews = now;
+	m_lastRefresh = now;
 	if (m_reading)
 	{
 		m_readAgain = true;
@@ -103,7 +104,7 @@
 	}
 	m_reading = true;
 	m_readTimer.cancel();
-	readOrAsk();
+	readFromRelayOrStore();
 }
 
 void StoreSync::scheduleRead(Micros _span)
@@ -120,12 +121,13 @@
 	const Micros age = monotonicNow() - m_context.content.confirmed;
 	if (age < kRelayInterval && relayToAsk())
 	{
-		after(m_readTimer, std::max(kLookMin, kRelayInterval - age), [self = shared_from_this()] { self->read(); });
+		after(m_readTimer, std::max(kMinCheckInterval, kRelayInterval - age),
+			  [self = shared_from_this()] { self->read(); });
 		return;
 	}
 	m_reading = true;
 	m_readTimer.cancel();
-	readOrAsk();
+	readFromRelayOrStore();
 }
 
 std::optional<std::string> StoreSync::relayToAsk() const
@@ -134,7 +136,7 @@
 	return mayAsk ? m_context.relays.relay(monotonicNow()) : std::nullopt;
 }
 
-void StoreSync::readOrAsk()
+void StoreSync::readFromRelayOrStore()
 {
 	if (const auto relay = relayToAsk())
 	{
@@ -158,7 +160,7 @@
 	}
 	ChannelRequest request;
 	request.target = std::string(kUpdatePath) + std::to_string(m_context.content.revision);
-	request.longest = kReadSilence;
+	request.longest = kReadIdleTimeout;
 	const Micros asked = monotonicNow();
 	m_relayChannel->call(std::move(request), kRelayTimeout,
 						 [self = shared_from_this(), asked](const std::optional<HttpAnswer>& _answer)
@@ -172,27 +174,27 @@
 
 void StoreSync::onRelayAnswer(Micros _asked, const std::optional<HttpAnswer>& _answer)
 {
-	noteRelay(_answer.has_value());
+	recordRelayAnswer(_answer.has_value());
 	const bool tooOld = _answer && _answer->status == kNotFound;
 	const auto update = _answer && _answer->status == kOk ? decodeUpdate(_answer->body) : std::nullopt;
-	if (tooOld || (update && update->age <= kRelayAge && !takeUpdate(_asked, *update)))
+	if (tooOld || (update && update->age <= kMaxRelayContentAge && !acceptUpdate(_asked, *update)))
 	{
-		askRelayForAll();
+		askRelayForContent();
 		return;
 	}
 	m_reading = false;
 	if (!update)
 	{
 		m_context.relays.onFailed(m_relayHost, monotonicNow());
-		scheduleRead(kNextRelay);
+		scheduleRead(kNextRelayDelay);
 		return;
 	}
-	if (update->age > kRelayAge)
+	if (update->age > kMaxRelayContentAge)
 	{
-		// Where the store is down for all, each gateway would else read it for itself: all but the first of each
-		// data centre ask one after the other first, so that few have reached the store when it comes back.
+		// If the store is down for all, each gateway would otherwise read it for itself. All but the first of each
+		// data centre ask the relays one after the other first, so that few reach the store when it comes back.
 		m_context.relays.onStale(m_relayHost, monotonicNow());
-		scheduleRead(kNextRelay);
+		scheduleRead(kNextRelayDelay);
 		return;
 	}
 	scheduleRelay();
@@ -201,16 +203,16 @@
 void StoreSync::scheduleRelay()
 {
 	onStoreReached(m_context.content.revision);
-	const Micros pause = m_readAgain ? kNextRelay : kRelayInterval;
+	const Micros pause = m_readAgain ? kNextRelayDelay : kRelayInterval;
 	m_readAgain = false;
 	after(m_readTimer, pause, [self = shared_from_this()] { self->read(); });
 }
 
-void StoreSync::askRelayForAll()
+void StoreSync::askRelayForContent()
 {
 	ChannelRequest request;
 	request.target = std::string(kContentPath);
-	request.longest = kReadSilence;
+	request.longest = kReadIdleTimeout;
 	const Micros asked = monotonicNow();
 	m_relayChannel->call(std::move(request), kRelayTimeout,
 						 [self = shared_from_this(), asked](const std::optional<HttpAnswer>& _answer)
@@ -222,7 +224,7 @@
 						 });
 }
 
-void StoreSync::noteRelay(bool _answered)
+void StoreSync::recordRelayAnswer(bool _answered)
 {
 	if (_answered)
 	{
@@ -232,16 +234,16 @@
 
 void StoreSync::onRelayContent(Micros _asked, const std::optional<HttpAnswer>& _answer)
 {
-	noteRelay(_answer.has_value());
+	recordRelayAnswer(_answer.has_value());
 	std::optional<StoreContent> content;
 	if (_answer && _answer->status == kOk)
 	{
 		content = decodeContent(_answer->body, _asked);
 	}
-	const bool fresh = content && _asked - content->confirmed <= kRelayAge;
+	const bool fresh = content && _asked - content->confirmed <= kMaxRelayContentAge;
 	if (!fresh || content->revision < m_context.content.revision)
 	{
-		// It has just started, or is behind: the store itself has to tell.
+		// The relay has just started or is behind, so the store itself must be read.
 		readStore();
 		return;
 	}
@@ -260,18 +262,19 @@
 	}
 }
 
-bool StoreSync::takeUpdate(Micros _asked, const ContentUpdate& _update)
+bool StoreSync::acceptUpdate(Micros _asked, const ContentUpdate& _update)
 {
 	const auto& config = m_context.directory.config();
 	if (config && config->version == _update.configVersion)
 	{
 		m_context.directory.confirm(_asked - _update.age);
 	}
-	const bool fits = _update.since == m_context.content.revision || _update.revision <= m_context.content.revision;
+	const bool applicable =
+		_update.since == m_context.content.revision || _update.revision <= m_context.content.revision;
 	const bool configLeftOut = std::any_of(
 		_update.leftOut.begin(), _update.leftOut.end(),
 		[this](const KvItem& _item) { return platform::isConfig(_item) && _item.revision != m_parsedRevision; });
-	if (!fits || configLeftOut)
+	if (!applicable || configLeftOut)
 	{
 		return false;
 	}
@@ -301,14 +304,14 @@
 	m_readAgain = false;
 	if (!m_context.mayReadStore(monotonicNow()))
 	{
-		// The relays are asked again; those that may read have something newer soon.
+		// The relays are asked again; those that may read the store will have newer content soon.
 		m_reading = false;
 		scheduleRead(kRetryMin);
 		return;
 	}
-	m_reads->read(m_context.storeContact.readSilence(kReadSilence),
-				  [self = shared_from_this()](std::optional<StoreContent> _content)
-				  { self->onRead(std::move(_content)); });
+	m_reader->read(m_context.storeContact.readSilence(kReadIdleTimeout),
+				   [self = shared_from_this()](std::optional<StoreContent> _content)
+				   { self->onRead(std::move(_content)); });
 }
 
 void StoreSync::onRead(std::optional<StoreContent> _content)
@@ -342,7 +345,7 @@
 	{
 		m_storeReached = false;
 		logEvent(LogLevel::Warning, "store-lost",
-				 {{"cause", std::string(toString(m_reads->fault()))},
+				 {{"cause", std::string(toString(m_reader->fault()))},
 				  {"revision", std::to_string(m_context.directory.revision())},
 				  {"config_age_ms", std::to_string(m_context.directory.age(monotonicNow()) / kMillisecond)}});
 	}
@@ -351,23 +354,24 @@
 
 void StoreSync::watch()
 {
-	// A watch is charged for each thing that it hears, so one gateway watches, and only the configuration: with
-	// everything watched, a day of 66 s and 18 gateways had some 300 calls more. The others hear of it by gossip.
+	// The store charges a watch for each event, so only one gateway watches, and only the configuration: watching
+	// everything cost some 300 more calls in a run of 66 s with 18 gateways. The other gateways learn of the
+	// change by gossip.
 	if (m_closed || !m_context.holdsDuties)
 	{
 		return;
 	}
 	m_watching = true;
 	ChannelRequest request = platform::watchCall(platform::configKey(), m_context.directory.revision(), kWatchSpan);
-	request.longest = kWatchTimeout + kReadLongest;
-	m_watches->call(std::move(request), kWatchTimeout,
-					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
-					{
-						if (!self->m_closed)
-						{
-							self->onWatch(_answer);
-						}
-					});
+	request.longest = kWatchTimeout + kMaxReadDuration;
+	m_watchChannel->call(std::move(request), kWatchTimeout,
+						 [self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
+						 {
+							 if (!self->m_closed)
+							 {
+								 self->onWatch(_answer);
+							 }
+						 });
 }
 
 void StoreSync::onWatch(const std::optional<HttpAnswer>& _answer)
@@ -388,23 +392,23 @@
 	}
 	if (events->historyLost || !events->items.empty())
 	{
-		// What was heard is no proof that there is nothing else: the read that follows brings it, and starts the
-		// next watch from its own revision.
+		// An event does not prove that nothing else changed. The read that follows delivers all changes, and
+		// starts the next watch from its own revision.
 		refresh();
 		return;
 	}
 	watch();
 }
 
-RoutingConfigPtr StoreSync::configOf(const KvItem& _item)
+RoutingConfigPtr StoreSync::parseConfig(const KvItem& _item)
 {
 	if (_item.revision == m_parsedRevision || _item.revision == m_rejectedRevision)
 	{
-		return m_parsed;
+		return m_parsedConfig;
 	}
 	try
 	{
-		m_parsed = platform::readConfig(_item.value);
+		m_parsedConfig = platform::readConfig(_item.value);
 		m_parsedRevision = _item.revision;
 	}
 	catch (const std::exception& error)
@@ -413,7 +417,7 @@
 		logEvent(LogLevel::Error, "config-refused",
 				 {{"revision", std::to_string(_item.revision)}, {"detail", error.what()}});
 	}
-	return m_parsed;
+	return m_parsedConfig;
 }
 
 void StoreSync::apply(StoreContent _content, bool _fromPeer)
@@ -427,15 +431,15 @@
 	{
 		if (platform::isConfig(item))
 		{
-			snapshot.config = configOf(item);
+			snapshot.config = parseConfig(item);
 		}
 		else if (key == kLevelsKey)
 		{
-			learnLevels(item);
+			loadQuotaLevels(item);
 		}
 		else if (key == kCountsKey)
 		{
-			learnCounts(item);
+			loadUsageCounts(item);
 		}
 		else if (isMemberKey(key))
 		{
@@ -477,18 +481,18 @@
 	_content.confirmed = std::max(_content.confirmed, m_context.content.confirmed);
 	m_context.content = std::move(_content);
 	m_context.contentFingerprint = fingerprintOf(m_context.content);
-	m_context.contentBytes = bytesToRead(m_context.content);
+	m_context.contentBytes = contentReadBytes(m_context.content);
 	if (m_context.onDirectoryChanged)
 	{
 		m_context.onDirectoryChanged();
 	}
 }
 
-void StoreSync::onPeerHolds(std::uint64_t _fingerprint, Micros _confirmed)
+void StoreSync::onPeerContentState(std::uint64_t _fingerprint, Micros _confirmed)
 {
 	if (m_context.content.revision != 0 && _fingerprint == m_context.contentFingerprint)
 	{
-		if (monotonicNow() - _confirmed < kRelayAge)
+		if (monotonicNow() - _confirmed < kMaxRelayContentAge)
 		{
 			onStoreReached(m_context.content.revision);
 		}
@@ -503,7 +507,7 @@
 	}
 }
 
-void StoreSync::learnLevels(const KvItem& _item)
+void StoreSync::loadQuotaLevels(const KvItem& _item)
 {
 	try
 	{
@@ -515,7 +519,7 @@
 	}
 }
 
-void StoreSync::learnCounts(const KvItem& _item)
+void StoreSync::loadUsageCounts(const KvItem& _item)
 {
 	if (_item.revision == m_countsRevision)
 	{
--- a/src/gateway/storesync_p.h
+++ b/src/gateway/storesync_p.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What the two halves of StoreSync share.
+/// Constants and helpers shared by the source files of StoreSync.
 
 #ifndef BEACONGATE_GATEWAY_STORESYNC_P_H
 #define BEACONGATE_GATEWAY_STORESYNC_P_H
@@ -16,11 +16,11 @@
 
 namespace beacongate
 {
-/// A read may take this long while bytes come: the content grows with the configuration, and 2 MB need 1.6 s of a
-/// link of 10 Mbit/s that callers' answers share. With 0.9 s for any size, 1.1 MB never came at 0.5 MB/s.
-inline constexpr Micros kReadLongest = 6 * kSecond;
+/// Longest time for a read while bytes arrive. The content grows with the configuration, and 2 MB need 1.6 s on a
+/// link of 10 Mbit/s that callers' answers share. With 0.9 s for any size, 1.1 MB never arrived at 0.5 MB/s.
+inline constexpr Micros kMaxReadDuration = 6 * kSecond;
 inline constexpr unsigned kOk = 200;
-inline constexpr unsigned kNotFound = 404; ///< A peer does not know what changed since so old a revision.
+inline constexpr unsigned kNotFound = 404; ///< A peer does not know what changed since such an old revision.
 
 /// Runs a handler after a span, unless the timer is cancelled.
 template <typename Handler> void after(boost::asio::steady_timer& _timer, Micros _span, Handler _handler)
--- a/src/gateway/storesyncpeers.cpp
+++ b/src/gateway/storesyncpeers.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// The half of StoreSync that talks to other gateways where neither the store nor a relay helps, and tells them what
-// this one has.
+// The part of StoreSync that asks other gateways if neither the store nor a relay answers, and that provides
+// content to them.
 
 #include "daemon/logging.h"
 #include "gateway/storesync.h"
@@ -18,12 +18,12 @@
 constexpr Micros kAskPeersAfter = 1800 * kMillisecond; ///< Age of the content from which peers are asked.
 } // namespace
 
-void StoreSync::schedulePeers()
+void StoreSync::scheduleAskPeers()
 {
-	after(m_peerTimer, m_context.jittered(kPeerInterval), [self = shared_from_this()] { self->learnFromPeers(); });
+	after(m_peerTimer, m_context.jittered(kPeerInterval), [self = shared_from_this()] { self->askPeers(); });
 }
 
-void StoreSync::learnFromPeers()
+void StoreSync::askPeers()
 {
 	if (m_closed)
 	{
@@ -33,7 +33,7 @@
 	const auto control = m_context.settings.control;
 	if (!control || now - m_context.content.confirmed < kAskPeersAfter)
 	{
-		schedulePeers();
+		scheduleAskPeers();
 		return;
 	}
 	std::optional<std::string> host = m_context.peers.freshestAfter(m_context.content.confirmed, now);
@@ -43,49 +43,50 @@
 	}
 	if (!host || *host == m_context.settings.callers.host)
 	{
-		schedulePeers();
+		scheduleAskPeers();
 		return;
 	}
 	askPeer(*host, m_context.content.revision == 0);
 }
 
-void StoreSync::askPeer(const std::string& _host, bool _whole)
+void StoreSync::askPeer(const std::string& _host, bool _fullContent)
 {
 	const Address address{_host, m_context.settings.control->port};
 	m_peerChannel = std::make_shared<HttpChannel>(m_context.loop, address, limits::kSnapshotBytes);
 	ChannelRequest request;
-	request.target =
-		_whole ? std::string(kContentPath) : std::string(kUpdatePath) + std::to_string(m_context.content.revision);
+	request.target = _fullContent ? std::string(kContentPath)
+								  : std::string(kUpdatePath) + std::to_string(m_context.content.revision);
 	request.headers = {{"Connection", "close"}};
-	request.longest = kReadLongest;
+	request.longest = kMaxReadDuration;
 	const Micros asked = monotonicNow();
-	m_peerChannel->call(std::move(request), kPeerTimeout,
-						[self = shared_from_this(), asked, _host, _whole](const std::optional<HttpAnswer>& _answer)
-						{
-							if (self->m_closed)
-							{
-								return;
-							}
-							if (_whole)
-							{
-								self->schedulePeers();
-								self->onPeerContent(asked, _answer);
-								return;
-							}
-							self->onPeerUpdate(asked, _host, _answer);
-						});
+	m_peerChannel->call(
+		std::move(request), kPeerTimeout,
+		[self = shared_from_this(), asked, _host, _fullContent](const std::optional<HttpAnswer>& _answer)
+		{
+			if (self->m_closed)
+			{
+				return;
+			}
+			if (_fullContent)
+			{
+				self->scheduleAskPeers();
+				self->onPeerContent(asked, _answer);
+				return;
+			}
+			self->onPeerUpdate(asked, _host, _answer);
+		});
 }
 
 void StoreSync::onPeerUpdate(Micros _asked, const std::string& _host, const std::optional<HttpAnswer>& _answer)
 {
 	const auto update = _answer && _answer->status == kOk ? decodeUpdate(_answer->body) : std::nullopt;
 	const bool tooOld = _answer && _answer->status == kNotFound;
-	if (tooOld || (update && !takeUpdate(_asked, *update)))
+	if (tooOld || (update && !acceptUpdate(_asked, *update)))
 	{
 		askPeer(_host, true);
 		return;
 	}
-	schedulePeers();
+	scheduleAskPeers();
 }
 
 void StoreSync::onPeerContent(Micros _asked, const std::optional<HttpAnswer>& _answer)
@@ -109,14 +110,15 @@
 	apply(std::move(*content), true);
 }
 
-std::string StoreSync::wholeContent()
+std::string StoreSync::fullContent()
 {
 	const StoreContent& content = m_context.content;
 	if (content.items.empty())
 	{
 		return "";
 	}
-	const std::string& body = m_bodies.body(0, content.revision, [&content] { return encodeContentBody(content); });
+	const std::string& body =
+		m_bodyCache.body(0, content.revision, [&content] { return encodeContentBody(content); });
 	return encodeContent(content.revision, monotonicNow() - content.confirmed, body);
 }
 
@@ -128,8 +130,8 @@
 		return "";
 	}
 	const std::string& body =
-		m_bodies.body(_revision, content.revision,
-					  [&] { return encodeUpdateBody(m_context.history.updateSince(content, _revision)); });
+		m_bodyCache.body(_revision, content.revision,
+						 [&] { return encodeUpdateBody(m_context.history.updateSince(content, _revision)); });
 	const std::uint64_t version = m_context.directory.config() ? m_context.directory.config()->version : 0;
 	return encodeUpdate({_revision, content.revision, monotonicNow() - content.confirmed, version}, body);
 }
