--- a/src/gateway/ownanswers.cpp
+++ b/src/gateway/erroranswers.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "gateway/ownanswers.h"
+#include "gateway/erroranswers.h"
 
 #include "protocol/json.h"
 
--- a/src/gateway/ownanswers.h
+++ b/src/gateway/erroranswers.h
@@ -4,8 +4,8 @@
 /// @file
 /// Error answers that a gateway generates itself.
 
-#ifndef BEACONGATE_GATEWAY_OWNANSWERS_H
-#define BEACONGATE_GATEWAY_OWNANSWERS_H
+#ifndef BEACONGATE_GATEWAY_ERRORANSWERS_H
+#define BEACONGATE_GATEWAY_ERRORANSWERS_H
 
 #include "beacongate/errors.h"
 #include "transport/httptypes.h"
@@ -21,4 +21,4 @@
 
 } // namespace beacongate
 
-#endif // BEACONGATE_GATEWAY_OWNANSWERS_H
+#endif // BEACONGATE_GATEWAY_ERRORANSWERS_H
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -5,8 +5,8 @@
 
 #include "daemon/logging.h"
 #include "gateway/dispatcher.h"
+#include "gateway/erroranswers.h"
 #include "gateway/exchange_p.h"
-#include "gateway/ownanswers.h"
 #include "platform/headers.h"
 #include "transport/forwarding.h"
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,8 +5,8 @@
 
 #include "coordination/stoppolicy.h"
 #include "daemon/logging.h"
+#include "gateway/erroranswers.h"
 #include "gateway/gatewaystate.h"
-#include "gateway/ownanswers.h"
 #include "platform/headers.h"
 #include "protocol/contentcodec.h"
 
