--- a/tests/answerheaderstest.cpp
+++ b/tests/answerheaderstest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a backend server says of itself in its answers, as the platform writes it.
+/// Tests of the headers by which a backend server states its backoff and departure in its answers.
 
 #include "platform/headers.h"
 #include "platform/names.h"
@@ -31,7 +31,7 @@
 }
 } // namespace
 
-TEST(AnswerHeaders, secondsAndFractionsAreABackoff)
+TEST(AnswerHeaders, secondsAndFractionsAreRead)
 {
 	EXPECT_EQ(readRetryAfter(503, "3").backoff, 3 * kSecond);
 	EXPECT_EQ(readRetryAfter(503, " 0.25 ").backoff, 250 * kMillisecond);
@@ -39,7 +39,7 @@
 	EXPECT_EQ(readRetryAfter(503, "0").backoff, 0);
 }
 
-TEST(AnswerHeaders, whatIsNoNumberOfSecondsIsIgnoredAndTold)
+TEST(AnswerHeaders, invalidValuesAreIgnoredAndReported)
 {
 	for (const char* value : {"", "soon", "-1", "-0.1", "nan", "inf", "-inf", "3 s", "3;4", "1,2", "0x10", "1e3",
 							  "Wed, 21 Oct 2026 07:28:00 GMT"})
@@ -50,19 +50,19 @@
 	}
 }
 
-TEST(AnswerHeaders, aHugeSpanIsBounded)
+TEST(AnswerHeaders, hugeValueIsBounded)
 {
 	EXPECT_EQ(readRetryAfter(503, "99999999999999999999").backoff, kLongestRetryAfter);
 }
 
-TEST(AnswerHeaders, theLongestOfSeveralValuesCounts)
+TEST(AnswerHeaders, longestOfSeveralValuesIsUsed)
 {
 	const AnswerInfo info = read(503, {{"retry-after", "2"}, {"Retry-After", "later"}, {"Retry-After", "5"}});
 	EXPECT_EQ(info.backoff, 5 * kSecond);
 	EXPECT_TRUE(info.backoffUnreadable);
 }
 
-TEST(AnswerHeaders, onlyAnAnswerThatTurnsARequestAwayAsksForABackoff)
+TEST(AnswerHeaders, onlyRejectionsSetABackoff)
 {
 	for (const unsigned status : {200u, 301u, 421u, 500u, 502u})
 	{
@@ -71,14 +71,14 @@
 	EXPECT_FALSE(read(503, {}).backoff);
 }
 
-TEST(AnswerHeaders, aBodyInAnotherFormThanWasAskedForIsTold)
+TEST(AnswerHeaders, contentEncodingIsReported)
 {
 	EXPECT_TRUE(read(200, {{"content-encoding", "gzip"}}).encoded);
 	EXPECT_FALSE(read(200, {{"Content-Encoding", "identity"}}).encoded);
 	EXPECT_FALSE(read(200, {}).encoded);
 }
 
-TEST(AnswerHeaders, aBackendServerSaysThatItLeavesInAnyAnswer)
+TEST(AnswerHeaders, leavingHeaderIsReadFromAnyAnswer)
 {
 	EXPECT_TRUE(read(200, {{"Server-Leaving", "1"}}).leaving);
 	EXPECT_TRUE(read(503, {{"server-leaving", "1"}}).leaving);
@@ -86,13 +86,13 @@
 	EXPECT_FALSE(read(200, {}).leaving);
 }
 
-RC_GTEST_PROP(AnswerHeaders, anyTextGivesABoundedSpanOrNone, (const std::string& text))
+RC_GTEST_PROP(AnswerHeaders, anyTextGivesABoundedValueOrNone, (const std::string& text))
 {
 	const auto span = parseRetryAfter(text);
 	RC_ASSERT(!span || (*span >= 0 && *span <= kLongestRetryAfter));
 }
 
-RC_GTEST_PROP(AnswerHeaders, wholeSecondsAreTakenAsTheyAre, (std::uint16_t seconds))
+RC_GTEST_PROP(AnswerHeaders, wholeSecondsAreReadExactly, (std::uint16_t seconds))
 {
 	RC_ASSERT(parseRetryAfter(std::to_string(seconds)) == seconds * kSecond);
 }
--- a/tests/gatewayfixture.h
+++ b/tests/gatewayfixture.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Whole gateways against stand-ins of the platform, for tests of what callers and workers see.
+/// Fixture that runs whole gateways against stand-ins of the platform, for tests of what callers and workers
+/// observe.
 
 #ifndef BEACONGATE_TESTS_GATEWAYFIXTURE_H
 #define BEACONGATE_TESTS_GATEWAYFIXTURE_H
@@ -35,7 +36,7 @@
 inline constexpr std::uint16_t kDutyPort = 18105;
 inline constexpr std::uint16_t kWorkerPort = 18106;
 
-/// A caller's connection, seen as bytes.
+/// A caller's TCP connection that sends and receives bytes.
 class Caller
 {
 public:
@@ -50,13 +51,13 @@
 
 	~Caller()
 	{
-		leave();
+		disconnect();
 	}
 
 	Caller(const Caller&) = delete;
 	Caller& operator=(const Caller&) = delete;
 
-	void leave()
+	void disconnect()
 	{
 		if (m_socket >= 0)
 		{
@@ -65,17 +66,17 @@
 		}
 	}
 
-	void say(const std::string& _bytes) const
+	void sendBytes(const std::string& _bytes) const
 	{
 		::send(m_socket, _bytes.data(), _bytes.size(), MSG_NOSIGNAL);
 	}
 
-	/// Reads until a text has come, the connection ends, or the span is over.
-	std::string hear(const std::string& _until, Micros _span = 10 * kSecond)
+	/// Receives until the given text has arrived, the connection ends, or the span is over.
+	std::string receiveUntil(const std::string& _until, Micros _span = 10 * kSecond)
 	{
-		std::string heard;
+		std::string received;
 		const Micros end = monotonicNow() + _span;
-		while (monotonicNow() < end && (_until.empty() || heard.find(_until) == std::string::npos))
+		while (monotonicNow() < end && (_until.empty() || received.find(_until) == std::string::npos))
 		{
 			pollfd ready{m_socket, POLLIN, 0};
 			if (poll(&ready, 1, 20) != 1)
@@ -90,9 +91,9 @@
 				wasReset = count < 0;
 				break;
 			}
-			heard.append(buffer, static_cast<std::size_t>(count));
+			received.append(buffer, static_cast<std::size_t>(count));
 		}
-		return heard;
+		return received;
 	}
 
 	bool connected = false;
@@ -103,7 +104,7 @@
 	int m_socket;
 };
 
-/// A gateway on a thread of its own.
+/// A gateway that runs on its own thread.
 class RunningGateway
 {
 public:
@@ -122,8 +123,8 @@
 		m_gateway.post([this] { m_gateway.requestStop(); });
 	}
 
-	/// Keeps the event loop from running for a while, as a VM does that gets no processor time.
-	void freeze(Micros _span)
+	/// Blocks the event loop for a while, as a stall of the process does.
+	void stall(Micros _span)
 	{
 		m_gateway.post([_span] { std::this_thread::sleep_for(std::chrono::microseconds(_span)); });
 	}
@@ -148,7 +149,8 @@
 	std::thread m_thread;
 };
 
-/// Store, duties, two workers and as many gateways as a test asks for, on loopback addresses of their own.
+/// Runs the store, the duty API, two workers and as many gateways as a test starts, on loopback addresses of its
+/// own.
 class GatewayTest : public testing::Test
 {
 protected:
@@ -187,57 +189,57 @@
 
 	static std::string config(std::uint64_t _version, const std::vector<std::string>& _keys = {"key"})
 	{
-		standin::SiteConfig made;
-		made.version = _version;
-		made.host = "h.example";
-		made.keys = _keys;
-		made.routes = {{"/safe/", "safe", 2},
-					   {"/unsafe/", "unsafe", 1},
-					   {"/stream/once/", "streaming", 1},
-					   {"/stream/again/", "streaming", 2, true},
-					   {"/open/", "safe", 2, false, true}};
-		return standin::formatConfig(made);
+		standin::SiteConfig siteConfig;
+		siteConfig.version = _version;
+		siteConfig.host = "h.example";
+		siteConfig.keys = _keys;
+		siteConfig.routes = {{"/safe/", "safe", 2},
+							 {"/unsafe/", "unsafe", 1},
+							 {"/stream/once/", "streaming", 1},
+							 {"/stream/again/", "streaming", 2, true},
+							 {"/open/", "safe", 2, false, true}};
+		return standin::formatConfig(siteConfig);
 	}
 
 	GatewaySettings settings(unsigned _number) const
 	{
-		GatewaySettings made;
-		made.name = "g" + std::to_string(_number);
-		made.dataCentre = "z1";
-		made.callers = {host(_number), kCallerPort};
-		made.readiness = {host(_number), kReadyPort};
-		made.control = Address{host(_number), kControlPort};
-		made.gossipPort = kGossipPort;
-		made.seeds = {{host(1), kControlPort}, {host(2), kControlPort}};
-		made.store = {host(200), kStorePort};
-		made.dutyApi = Address{host(200), kDutyPort};
-		made.reportsUsage = true;
-		made.grace = 2 * kSecond;
-		made.strictRevocation = true;
-		made.revocationSpan = 3 * kSecond;
-		made.leaseSpan = 2 * kSecond;
-		made.usageWindow = kSecond;
-		return made;
+		GatewaySettings gatewaySettings;
+		gatewaySettings.name = "g" + std::to_string(_number);
+		gatewaySettings.dataCentre = "z1";
+		gatewaySettings.callers = {host(_number), kCallerPort};
+		gatewaySettings.readiness = {host(_number), kReadyPort};
+		gatewaySettings.control = Address{host(_number), kControlPort};
+		gatewaySettings.gossipPort = kGossipPort;
+		gatewaySettings.seeds = {{host(1), kControlPort}, {host(2), kControlPort}};
+		gatewaySettings.store = {host(200), kStorePort};
+		gatewaySettings.dutyApi = Address{host(200), kDutyPort};
+		gatewaySettings.reportsUsage = true;
+		gatewaySettings.grace = 2 * kSecond;
+		gatewaySettings.strictRevocation = true;
+		gatewaySettings.revocationSpan = 3 * kSecond;
+		gatewaySettings.leaseSpan = 2 * kSecond;
+		gatewaySettings.usageWindow = kSecond;
+		return gatewaySettings;
 	}
 
-	void startGateway(const GatewaySettings& _chosen)
+	void startGateway(const GatewaySettings& _settings)
 	{
-		gateways.push_back(std::make_unique<RunningGateway>(_chosen));
-		ASSERT_TRUE(await([&] { return isReady(_chosen.readiness); })) << _chosen.name << " did not get ready";
+		gateways.push_back(std::make_unique<RunningGateway>(_settings));
+		ASSERT_TRUE(await([&] { return isReady(_settings.readiness); })) << _settings.name << " did not get ready";
 	}
 
 	static bool isReady(const Address& _address)
 	{
 		Caller caller(_address);
-		caller.say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-		return caller.hear("\r\n\r\n", kSecond).find("HTTP/1.1 200") == 0;
+		caller.sendBytes("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+		return caller.receiveUntil("\r\n\r\n", kSecond).find("HTTP/1.1 200") == 0;
 	}
 
 	static std::string request(const std::string& _method, const std::string& _path, const std::string& _id,
-							   const std::string& _more = "", const std::string& _body = "")
+							   const std::string& _headers = "", const std::string& _body = "")
 	{
 		std::string bytes = _method + ' ' + _path + " HTTP/1.1\r\nHost: h.example\r\n" + platform::kRequestId +
-							": " + _id + "\r\n" + platform::kDeadline + ": 5000\r\n" + _more;
+							": " + _id + "\r\n" + platform::kDeadline + ": 5000\r\n" + _headers;
 		if (!_body.empty())
 		{
 			bytes += "Content-Length: " + std::to_string(_body.size()) + "\r\n";
@@ -245,14 +247,15 @@
 		return bytes + "\r\n" + _body;
 	}
 
-	/// Sends one request and reads the whole answer.
+	/// Sends one request and receives the whole answer.
 	std::string call(const std::string& _method, const std::string& _path, const std::string& _id,
 					 const std::string& _key = "key", unsigned _gateway = 1)
 	{
 		Caller caller({host(_gateway), kCallerPort});
 		const std::string header = _key.empty() ? "" : std::string(platform::kApiKey) + ": " + _key + "\r\n";
-		caller.say(request(_method, _path, _id, header + "Connection: close\r\n", _method == "POST" ? "body" : ""));
-		return caller.hear("");
+		caller.sendBytes(
+			request(_method, _path, _id, header + "Connection: close\r\n", _method == "POST" ? "body" : ""));
+		return caller.receiveUntil("");
 	}
 
 	unsigned runsOf(const std::string& _id)
--- a/tests/gatewayfleettest.cpp
+++ b/tests/gatewayfleettest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A fleet of whole gateways that is large enough for collectors.
+/// Tests of a fleet of gateways that is large enough for collectors.
 
 #include "gatewayfixture.h"
 
@@ -17,7 +17,7 @@
 constexpr unsigned kGateways = limits::kGossipPeers + 2;
 }
 
-/// Two data centres of nine gateways.
+/// Two data centres of nine gateways each.
 class GatewayFleetTest : public GatewayTest
 {
 protected:
@@ -25,15 +25,15 @@
 	{
 		for (unsigned number = 1; number <= kGateways; ++number)
 		{
-			GatewaySettings chosen = settings(number);
-			chosen.dataCentre = number % 2 == 0 ? "z1" : "z2";
-			startGateway(chosen);
+			GatewaySettings gatewaySettings = settings(number);
+			gatewaySettings.dataCentre = number % 2 == 0 ? "z1" : "z2";
+			startGateway(gatewaySettings);
 		}
 	}
 
 	void TearDown() override
 	{
-		// Each takes a second to stop: all at once.
+		// Each gateway takes a second to stop, so all are stopped at the same time.
 		for (const auto& gateway : gateways)
 		{
 			if (gateway)
@@ -43,12 +43,12 @@
 		}
 	}
 
-	/// @returns a figure of a gateway's metrics; -1 where it is not there.
-	double figure(unsigned _gateway, const std::string& _name)
+	/// @returns the value of a gateway's metric; -1 if it is missing.
+	double metric(unsigned _gateway, const std::string& _name)
 	{
 		Caller caller({host(_gateway), kControlPort});
-		caller.say("GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-		std::istringstream lines(caller.hear(""));
+		caller.sendBytes("GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+		std::istringstream lines(caller.receiveUntil(""));
 		for (std::string line; std::getline(lines, line);)
 		{
 			if (line.compare(0, _name.size() + 1, _name + ' ') == 0)
@@ -59,22 +59,22 @@
 		return -1.0;
 	}
 
-	/// @returns how many gateways each hears of, for messages of failures.
-	std::string heardByEach()
+	/// @returns how many gateways each one hears, for failure messages.
+	std::string gatewaysHeardByEach()
 	{
 		std::string text;
 		for (unsigned number = 1; number <= kGateways; ++number)
 		{
-			text += gateways[number - 1] ? std::to_string(figure(number, "beacongate_gateways_heard")) + ' ' : "- ";
+			text += gateways[number - 1] ? std::to_string(metric(number, "beacongate_gateways_heard")) + ' ' : "- ";
 		}
 		return text;
 	}
 
-	bool allHearOf(double _gateways)
+	bool allHear(double _gateways)
 	{
 		for (unsigned number = 1; number <= kGateways; ++number)
 		{
-			if (gateways[number - 1] && figure(number, "beacongate_gateways_heard") < _gateways)
+			if (gateways[number - 1] && metric(number, "beacongate_gateways_heard") < _gateways)
 			{
 				return false;
 			}
@@ -83,16 +83,16 @@
 	}
 };
 
-/// The second collector of a data centre took no report for a new one, since it never answered any.
-TEST_F(GatewayFleetTest, eachGatewayHearsOfAllAndGoesOnWithoutTheFirstCollectors)
+/// Guards against a second collector that treats no report as new, since its own answers are missing.
+TEST_F(GatewayFleetTest, eachGatewayHearsAllAlsoAfterTheFirstCollectorsStop)
 {
-	EXPECT_TRUE(await([&] { return allHearOf(kGateways); }, 6 * kSecond)) << heardByEach();
-	// Both first collectors end: members rank by host, as text.
+	EXPECT_TRUE(await([&] { return allHear(kGateways); }, 6 * kSecond)) << gatewaysHeardByEach();
+	// Both first collectors stop; members are ranked by host, as text.
 	for (const std::size_t index : {0u, 9u})
 	{
 		gateways[index].reset();
 	}
-	EXPECT_TRUE(await([&] { return allHearOf(kGateways - 2); }, 6 * kSecond)) << heardByEach();
+	EXPECT_TRUE(await([&] { return allHear(kGateways - 2); }, 6 * kSecond)) << gatewaysHeardByEach();
 	for (unsigned number = 2; number <= 9; ++number)
 	{
 		EXPECT_EQ(statusOf(call("GET", "/safe/", "after" + std::to_string(number), "key", number)), 200u);
@@ -101,7 +101,7 @@
 
 TEST_F(GatewayFleetTest, usageOfAllGatewaysIsReportedOnce)
 {
-	ASSERT_TRUE(await([&] { return allHearOf(kGateways); }, 6 * kSecond));
+	ASSERT_TRUE(await([&] { return allHear(kGateways); }, 6 * kSecond));
 	ASSERT_TRUE(await([&] { return !store->get(kHolderKey).empty(); }));
 	std::this_thread::sleep_for(std::chrono::milliseconds(1500));
 	constexpr unsigned kCalls = 2 * kGateways;
@@ -130,9 +130,9 @@
 	EXPECT_EQ(counted(), kCalls);
 }
 
-TEST_F(GatewayFleetTest, aNewConfigurationIsInForceEverywhereSoon)
+TEST_F(GatewayFleetTest, newConfigurationIsAppliedByAllGateways)
 {
-	ASSERT_TRUE(await([&] { return allHearOf(kGateways); }, 6 * kSecond));
+	ASSERT_TRUE(await([&] { return allHear(kGateways); }, 6 * kSecond));
 	store->put(platform::kConfigKey, config(2, {"other"}));
 	for (unsigned number = 1; number <= kGateways; ++number)
 	{
--- a/tests/gatewayquotatest.cpp
+++ b/tests/gatewayquotatest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a whole gateway lets a team with a limit have run.
+/// Tests of team quotas with a whole gateway.
 
 #include "gatewayfixture.h"
 
@@ -12,26 +12,27 @@
 {
 constexpr double kBurst = 6.0;
 
-std::string limitedSite()
+std::string limitedConfig()
 {
-	standin::SiteConfig made;
-	made.version = 1;
-	made.host = "h.example";
-	made.routes = {{"/safe/", "safe", 2}};
-	made.teams = {{"limited", "limited-key", 0.001, kBurst, false}};
-	return standin::formatConfig(made);
+	standin::SiteConfig config;
+	config.version = 1;
+	config.host = "h.example";
+	config.routes = {{"/safe/", "safe", 2}};
+	config.teams = {{"limited", "limited-key", 0.001, kBurst, false}};
+	return standin::formatConfig(config);
 }
 } // namespace
 
-/// A backend server resets connections after it ran a request, so that each request runs twice. Before second runs
-/// were charged, six requests had twelve runs where six are the limit.
-TEST_F(GatewayTest, whatRunsTwiceIsChargedTwice)
+/// A backend server resets the connection after it ran a request, so that each request runs twice. If retries were
+/// not charged, six requests would run twelve times with a limit of six.
+TEST_F(GatewayTest, retriedRequestIsChargedTwice)
 {
-	store->put(platform::kConfigKey, limitedSite());
-	GatewaySettings chosen = settings(1);
-	chosen.firstStart = true;
-	startGateway(chosen);
-	std::this_thread::sleep_for(std::chrono::milliseconds(1200)); // Until it may know that it is the only one.
+	store->put(platform::kConfigKey, limitedConfig());
+	GatewaySettings gatewaySettings = settings(1);
+	gatewaySettings.firstStart = true;
+	startGateway(gatewaySettings);
+	// Until the gateway may assume that it is the only one.
+	std::this_thread::sleep_for(std::chrono::milliseconds(1200));
 	setFaults(WorkerFault::Resets);
 	unsigned refused = 0;
 	unsigned runs = 0;
--- a/tests/gatewayslowstoretest.cpp
+++ b/tests/gatewayslowstoretest.cpp
@@ -2,23 +2,14 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The incident "requests reached backend servers that had left, on real processes".
+/// Guards against requests to backend servers that left while the store answers slowly.
 ///
-/// What users saw: on real processes, requests reached backend servers seconds after these had left, though nothing
-/// had failed.
-///
-/// Order of events: a gateway's way to the store becomes slow, so that answers take a second; the read of the list
-/// is dropped after 0.4 s, as is that of the whole store after 0.9 s, and each begins anew; meanwhile a backend
-/// server's record goes without a word; the gateway finds it missing in the first list that comes through, and goes
-/// on sending to it for two more seconds.
-///
-/// Cause: one read that had brought nothing in time was taken for an outage of the store, in which lists may be of
-/// any age and records lapse though their servers live. A slow store was told from one out of reach by a fixed span
-/// that said nothing about the bound on departures.
-///
-/// Evidence: with eight gateways as processes and servers that leave every 0.7 s, 195 requests came late in three
-/// of four runs; the log had standing=lapsed for all 195, with lists 4 ms to 2.2 s old, and cause=silent for all 72
-/// reads that failed, though the store had answered each of them by the time that the next one was asked.
+/// If answers of the store take a second and reads are dropped earlier (the list after 0.4 s, the whole store after
+/// 0.9 s), a slow store looks unreachable. During an outage lists may be of any age and records expire although
+/// their servers live, so a server whose record was removed got requests for two more seconds after the first list
+/// without it. With eight gateways and servers that left every 0.7 s, 195 requests were late in three of four runs,
+/// all with standing=lapsed and lists 4 ms to 2.2 s old; all 72 failed reads were logged with cause=silent, though
+/// the store answered each of them by the time of the next one.
 
 #include "gatewayfixture.h"
 
@@ -32,8 +23,9 @@
 {
 namespace
 {
-constexpr Micros kDrainBound = 2 * kSecond; ///< From a departure's record until no request may arrive.
-/// Each way: an answer takes a second, half of the bound.
+/// Time from the change of a leaving server's record until no request may arrive.
+constexpr Micros kDrainBound = 2 * kSecond;
+/// Delay of each direction: an answer takes a second, half of the bound.
 constexpr Micros kDelay = 500 * kMillisecond;
 
 void sleepFor(Micros _span)
@@ -42,16 +34,16 @@
 }
 } // namespace
 
-/// One gateway whose way to the store can be made slow.
+/// One gateway whose link to the store can be delayed.
 class GatewaySlowStoreTest : public GatewayTest
 {
 protected:
 	void SetUp() override
 	{
 		link = std::make_unique<soak::FaultProxy>(Address{host(202), kStorePort}, Address{host(200), kStorePort});
-		GatewaySettings chosen = settings(1);
-		chosen.store = {host(202), kStorePort};
-		startGateway(chosen);
+		GatewaySettings gatewaySettings = settings(1);
+		gatewaySettings.store = {host(202), kStorePort};
+		startGateway(gatewaySettings);
 	}
 
 	void TearDown() override
@@ -60,8 +52,8 @@
 		link.reset();
 	}
 
-	/// Calls some times, without a key since keys may be unconfirmed while the store is slow.
-	/// @returns how many of the calls the first worker ran.
+	/// Sends requests without a key, since keys may be unconfirmed while the store is slow.
+	/// @returns the number of these requests that the first worker ran.
 	std::size_t runsAtFirstWorker(const std::string& _name)
 	{
 		constexpr int kCalls = 12;
@@ -76,20 +68,20 @@
 	std::unique_ptr<soak::FaultProxy> link;
 };
 
-TEST_F(GatewaySlowStoreTest, aServerWhoseRecordWentGetsNothingMoreThoughTheStoreAnswersSlowly)
+TEST_F(GatewaySlowStoreTest, removedServerGetsNoRequestsWhileTheStoreIsSlow)
 {
 	link->setFault(soak::LinkFault::Delays, kDelay);
 	sleepFor(3 * kSecond);
 	store->remove("servers/" + workerId(1));
 	sleepFor(kDrainBound);
 	EXPECT_EQ(runsAtFirstWorker("a"), 0u);
-	// Nor once the way is quick again, and the first list comes that lacks it.
+	// Nor after the link is fast again and the first list without the server arrives.
 	link->setFault(soak::LinkFault::None);
 	sleepFor(500 * kMillisecond);
 	EXPECT_EQ(runsAtFirstWorker("b"), 0u);
 }
 
-TEST_F(GatewaySlowStoreTest, aServerThatSaysItLeavesGetsNothingMoreThoughTheStoreTurnsSlowJustThen)
+TEST_F(GatewaySlowStoreTest, leavingServerGetsNoRequestsWhenTheStoreBecomesSlow)
 {
 	link->setFault(soak::LinkFault::Delays, kDelay);
 	registerWorker(1, "draining");
@@ -97,10 +89,10 @@
 	EXPECT_EQ(runsAtFirstWorker("c"), 0u);
 }
 
-/// Where the store says nothing at all, calls wait only until that is known.
-TEST_F(GatewaySlowStoreTest, anOutageHoldsCallsUpForAShortWhileOnly)
+/// If the store does not respond, requests wait only until it counts as unreachable.
+TEST_F(GatewaySlowStoreTest, storeOutageDelaysRequestsOnlyBriefly)
 {
-	constexpr Micros kLongestHold = 800 * kMillisecond;
+	constexpr Micros kMaxDelay = 800 * kMillisecond;
 	constexpr Micros kSpan = 6 * kSecond;
 	link->setFault(soak::LinkFault::Silent);
 	Micros longest = 0;
@@ -112,19 +104,19 @@
 		longest = std::max(longest, monotonicNow() - began);
 		sleepFor(10 * kMillisecond);
 	}
-	EXPECT_LT(longest, kLongestHold);
+	EXPECT_LT(longest, kMaxDelay);
 }
 
-/// Sums are kept for a while; what they say of the sender's content has to be of one moment. Else a gateway takes a
-/// list for newer than it is: its age was understated by up to the span between two reads of the sender.
-TEST_F(GatewaySlowStoreTest, aCollectorNeverConfirmsContentForAMomentAtWhichItWasReplaced)
+/// Cached sums must describe the sender's content as of one moment. Otherwise a gateway takes a list for newer
+/// than it is: its age was understated by up to the time between two reads of the sender.
+TEST_F(GatewaySlowStoreTest, collectorNeverConfirmsReplacedContent)
 {
-	constexpr unsigned kMembers = limits::kGossipPeers + 4;
+	constexpr unsigned kMemberCount = limits::kGossipPeers + 4;
 	constexpr unsigned kPeerHost = 60;
 	constexpr Micros kSpan = 2 * kSecond;
-	for (unsigned number = 0; number < kMembers; ++number)
+	for (unsigned number = 0; number < kMemberCount; ++number)
 	{
-		// They rank behind the gateway, whose host comes first.
+		// These members rank behind the gateway, whose host sorts first.
 		store->put(memberKey("m" + std::to_string(number)), encodeMember({host(kPeerHost + number), "z1", 0}));
 	}
 	const int peer = socket(AF_INET, SOCK_DGRAM, 0);
@@ -142,18 +134,18 @@
 	report.dataCentre = "z1";
 	report.kind = GossipKind::Report;
 	report.wantsSums = true;
-	std::uint64_t replaced = 0;
-	std::uint64_t newest = 0;
-	Micros changed = kNever;
-	unsigned heardOfOld = 0;
+	std::uint64_t replacedFingerprint = 0;
+	std::uint64_t newestFingerprint = 0;
+	Micros changedAt = kNever;
+	unsigned replacedCount = 0;
 	const Micros begin = monotonicNow();
 	while (monotonicNow() < begin + kSpan)
 	{
-		if (changed == kNever && monotonicNow() > begin + kSecond && newest != 0)
+		if (changedAt == kNever && monotonicNow() > begin + kSecond && newestFingerprint != 0)
 		{
-			replaced = newest;
+			replacedFingerprint = newestFingerprint;
 			store->remove("servers/" + workerId(1));
-			changed = monotonicNow();
+			changedAt = monotonicNow();
 		}
 		report.sent = monotonicNow();
 		const std::string bytes = encodeGossip(report);
@@ -169,16 +161,16 @@
 				continue;
 			}
 			report.echo = message->sent;
-			newest = message->contentFingerprint;
-			if (changed != kNever && newest == replaced)
+			newestFingerprint = message->contentFingerprint;
+			if (changedAt != kNever && newestFingerprint == replacedFingerprint)
 			{
-				++heardOfOld;
-				EXPECT_LE(message->sent - message->contentAge, changed);
+				++replacedCount;
+				EXPECT_LE(message->sent - message->contentAge, changedAt);
 			}
 		}
 	}
 	close(peer);
-	EXPECT_GT(heardOfOld, 0u);
+	EXPECT_GT(replacedCount, 0u);
 }
 
 } // namespace beacongate::test
--- a/tests/gatewaystoretest.cpp
+++ b/tests/gatewaystoretest.cpp
@@ -2,13 +2,13 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Whole gateways and the store: configuration, outages, relays, duties.
+/// Tests of whole gateways and the store: configuration, outages, relays and duties.
 
 #include "gatewayfixture.h"
 
 namespace beacongate::test
 {
-TEST_F(GatewayTest, aNewConfigurationIsInForceSoonAndARevokedKeyRefused)
+TEST_F(GatewayTest, newConfigurationIsAppliedAndARevokedKeyRefused)
 {
 	startGateway(settings(1));
 	ASSERT_EQ(statusOf(call("GET", "/safe/", "r1")), 200u);
@@ -20,15 +20,15 @@
 	EXPECT_EQ(statusOf(call("GET", "/safe/", "r4", "other")), 200u) << "the last good configuration stays in force";
 }
 
-TEST_F(GatewayTest, withoutTheStoreKeysAreRefusedInTimeAndAnonymousCallsGoOn)
+TEST_F(GatewayTest, storeOutageRefusesKeysInTimeButServesAnonymousRequests)
 {
 	startGateway(settings(1));
 	for (const StoreFault fault : {StoreFault::Busy, StoreFault::Silent})
 	{
 		store->setFault(fault);
-		const Micros lost = monotonicNow();
+		const Micros outageStart = monotonicNow();
 		EXPECT_TRUE(await([&] { return statusOf(call("GET", "/safe/", "r1")) == 503; }, 3 * kSecond));
-		EXPECT_LT(monotonicNow() - lost, 3 * kSecond);
+		EXPECT_LT(monotonicNow() - outageStart, 3 * kSecond);
 		EXPECT_TRUE(has(call("GET", "/safe/", "r2"), "Retry-After"));
 		EXPECT_EQ(statusOf(call("GET", "/open/", "r3", "")), 200u);
 		EXPECT_FALSE(isReady({host(1), kReadyPort}));
@@ -38,12 +38,12 @@
 	}
 }
 
-TEST_F(GatewayTest, oneThatCannotReachTheStoreHearsOfItFromAPeer)
+TEST_F(GatewayTest, gatewayWithoutStoreAccessGetsContentFromAPeer)
 {
 	startGateway(settings(1));
-	GatewaySettings cut = settings(2);
-	cut.store = {host(201), kStorePort};
-	startGateway(cut);
+	GatewaySettings isolated = settings(2);
+	isolated.store = {host(201), kStorePort};
+	startGateway(isolated);
 	EXPECT_EQ(statusOf(call("GET", "/safe/", "r1", "key", 2)), 200u);
 	store->put(platform::kConfigKey, config(2, {"other"}));
 	EXPECT_TRUE(await([&] { return statusOf(call("GET", "/safe/", "r2", "key", 2)) == 401; }, 3 * kSecond));
@@ -68,15 +68,15 @@
 	};
 	startGateway(settings(1));
 	std::this_thread::sleep_for(std::chrono::seconds(2));
-	const unsigned alone = callsIn(4 * kSecond);
+	const unsigned callsOfOneGateway = callsIn(4 * kSecond);
 	for (unsigned number = 2; number <= kGateways; ++number)
 	{
 		startGateway(settings(number));
 	}
 	std::this_thread::sleep_for(std::chrono::seconds(2));
-	// Each other gateway renews the lease of its registration, and one may hold the duties beside.
-	EXPECT_LT(callsIn(4 * kSecond), 2 * alone);
-	// The relay ends without a word: the others read for themselves, and hear of news all the while.
+	// Each other gateway renews the lease of its registration, and one may also hold the duties.
+	EXPECT_LT(callsIn(4 * kSecond), 2 * callsOfOneGateway);
+	// The relay stops: the others read the store themselves, and still learn of changes.
 	gateways[0]->stop();
 	store->put(platform::kConfigKey, config(2, {"other"}));
 	for (unsigned number = 2; number <= kGateways; ++number)
@@ -95,7 +95,7 @@
 	EXPECT_EQ(workers[0]->runs().size(), runs) << "a record that is gone is not used by one that asks its relay";
 }
 
-TEST_F(GatewayTest, backendServersWhoseRecordsLapseInAnOutageServeOn)
+TEST_F(GatewayTest, serversWhoseRecordsExpireInAnOutageStayInUse)
 {
 	startGateway(settings(1));
 	store->setFault(StoreFault::Busy);
@@ -112,17 +112,17 @@
 	EXPECT_TRUE(await([&] { return statusOf(call("GET", "/safe/", "back")) == 200; }, kSecond));
 }
 
-TEST_F(GatewayTest, newsComeAlsoAfterTheStoreForgotItsHistory)
+TEST_F(GatewayTest, changesArriveAfterTheStoreLostItsHistory)
 {
 	startGateway(settings(1));
-	store->put("servers/" + workerId(1), Json{{"service", "s"}}.dump()); // Makes no sense and is passed over.
+	store->put("servers/" + workerId(1), Json{{"service", "s"}}.dump()); // An invalid record, which is ignored.
 	store->forgetHistory();
 	store->put(platform::kConfigKey, config(2, {"other"}));
 	store->forgetHistory();
 	EXPECT_TRUE(await([&] { return statusOf(call("GET", "/safe/", "r1", "other")) == 200; }, 2 * kSecond));
 }
 
-TEST_F(GatewayTest, oneUsageReportAWindowThoughTheStoreLosesAnswers)
+TEST_F(GatewayTest, oneUsageReportPerWindowWhenTheStoreLosesAnswers)
 {
 	startGateway(settings(1));
 	startGateway(settings(2));
@@ -164,7 +164,7 @@
 	EXPECT_LE(counted, 30u);
 }
 
-TEST_F(GatewayTest, aStreamThatAnEngineRanIsCountedThoughItsAnswerFailedOrWasLost)
+TEST_F(GatewayTest, streamThatRanIsCountedWhenItsAnswerFailedOrWasLost)
 {
 	startGateway(settings(1));
 	ASSERT_TRUE(await([&] { return !store->get("beacongate/holder").empty(); }));
@@ -194,15 +194,16 @@
 	EXPECT_EQ(counted(), 2u) << "what an engine rejected is not counted";
 }
 
-TEST_F(GatewayTest, usageCountsOutliveAllGatewaysAtOnce)
+TEST_F(GatewayTest, usageCountsSurviveARestartOfAllGateways)
 {
-	GatewaySettings chosen = settings(1);
-	chosen.usageWindow = 4 * kSecond;
-	startGateway(chosen);
+	GatewaySettings gatewaySettings = settings(1);
+	gatewaySettings.usageWindow = 4 * kSecond;
+	startGateway(gatewaySettings);
 	ASSERT_TRUE(await([&] { return !store->get("beacongate/holder").empty(); }));
-	// A new holder keeps no counts before it has read what an earlier one kept, 1.2 s after it took the duties.
+	// A new holder writes no counts before it has read those of its predecessor, 1.2 s after it acquired the
+	// duties.
 	std::this_thread::sleep_for(std::chrono::milliseconds(1600));
-	// The requests have to fall into one window with time to spare.
+	// The requests must fall into one window, with time to spare.
 	const auto position = []
 	{
 		const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -215,7 +216,7 @@
 	}
 	std::this_thread::sleep_for(std::chrono::milliseconds(700));
 	gateways.clear();
-	startGateway(chosen);
+	startGateway(gatewaySettings);
 	const auto reported = [&]
 	{
 		for (const standin::DutyCall& report : duties->calls())
@@ -230,7 +231,7 @@
 	EXPECT_TRUE(await(reported, 12 * kSecond));
 }
 
-TEST_F(GatewayTest, oneThatTakesTheDutiesReadsTheKeptCountsFirst)
+TEST_F(GatewayTest, newDutyHolderReadsTheStoredCountsFirst)
 {
 	GatewaySettings relay = settings(1);
 	relay.dutyApi.reset();
@@ -239,7 +240,7 @@
 	ASSERT_TRUE(await([&] { return store->get(kHolderKey).substr(0, 2) == "g2"; }));
 	startGateway(settings(3));
 	gateways[1]->stop();
-	// Counts of a large fleet, most of whose gateways are gone: more than one gateway hands on to another.
+	// Counts of a large fleet, most of whose gateways are gone: more than a relay passes on in an update.
 	constexpr std::uint64_t kWindows = 20;
 	constexpr unsigned kRuns = 130;
 	const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -256,7 +257,7 @@
 	ASSERT_GT(text.size(), ContentHistory::kValueBytes);
 	store->put(kCountsKey, text);
 	std::map<std::uint64_t, std::uint64_t> reported;
-	const auto enough = [&]
+	const auto threeWindowsReported = [&]
 	{
 		for (const standin::DutyCall& call : duties->calls())
 		{
@@ -268,14 +269,14 @@
 		}
 		return reported.size() >= 3;
 	};
-	ASSERT_TRUE(await(enough, 12 * kSecond));
+	ASSERT_TRUE(await(threeWindowsReported, 12 * kSecond));
 	for (const auto& [window, count] : reported)
 	{
 		EXPECT_EQ(count, kRuns) << "window " << window - current << " after the holder's end";
 	}
 }
 
-TEST_F(GatewayTest, theDutiesPassToAnotherWithALargerFence)
+TEST_F(GatewayTest, nextDutyHolderHasALargerFencingToken)
 {
 	startGateway(settings(1));
 	startGateway(settings(2));
@@ -283,12 +284,12 @@
 	const std::string first = store->get("beacongate/holder");
 	const std::uint64_t fence = std::strtoull(store->get("beacongate/fence").c_str(), nullptr, 10);
 	gateways[first.substr(0, 2) == "g1" ? 0 : 1]->stop();
-	const auto passed = [&]
+	const auto hasNewHolder = [&]
 	{
 		const std::string holder = store->get("beacongate/holder");
 		return !holder.empty() && holder != first;
 	};
-	EXPECT_TRUE(await(passed, 8 * kSecond));
+	EXPECT_TRUE(await(hasNewHolder, 8 * kSecond));
 	EXPECT_GT(std::strtoull(store->get("beacongate/fence").c_str(), nullptr, 10), fence);
 }
 
--- a/tests/gatewaytest.cpp
+++ b/tests/gatewaytest.cpp
@@ -2,21 +2,21 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What callers and backend servers of a whole gateway see, request by request, under failures.
+/// Tests of what callers and backend servers of a whole gateway observe, request by request, under failures.
 
 #include "gatewayfixture.h"
 
 namespace beacongate::test
 {
-TEST_F(GatewayTest, aCallReachesAWorkerUnchangedAndItsAnswerTheCaller)
+TEST_F(GatewayTest, requestAndAnswerAreForwardedUnchanged)
 {
 	startGateway(settings(1));
 	Caller caller({host(1), kCallerPort});
-	caller.say(
+	caller.sendBytes(
 		request("POST", "/unsafe/a?b=%20c", "r1",
 				std::string(platform::kApiKey) + ": key\r\n" + platform::kTenant + ": forged\r\nX-Kept: 1\r\n",
 				"the body"));
-	const std::string answer = caller.hear("\r\n\r\n" + standin::PlatformWorker::wholeCall("r1"));
+	const std::string answer = caller.receiveUntil("\r\n\r\n" + standin::PlatformWorker::wholeCall("r1"));
 	EXPECT_EQ(statusOf(answer), 200u) << answer;
 	EXPECT_TRUE(has(answer, std::string(platform::kStamp) + ": w"));
 	EXPECT_TRUE(has(answer, std::string(platform::kRequestId) + ": r1"));
@@ -30,12 +30,12 @@
 	EXPECT_EQ(findHeader(runs[0].headers, platform::kTenant), "t");
 	EXPECT_EQ(findHeader(runs[0].headers, platform::kApiKey), "");
 	EXPECT_EQ(findHeader(runs[0].headers, "X-Kept"), "1");
-	// The connection is kept for another request.
-	caller.say(request("GET", "/open/x", "r2"));
-	EXPECT_EQ(statusOf(caller.hear("\r\n\r\n" + standin::PlatformWorker::wholeCall("r2"))), 200u);
+	// The connection is kept open for another request.
+	caller.sendBytes(request("GET", "/open/x", "r2"));
+	EXPECT_EQ(statusOf(caller.receiveUntil("\r\n\r\n" + standin::PlatformWorker::wholeCall("r2"))), 200u);
 }
 
-TEST_F(GatewayTest, refusesWhatTheConfigurationDoesNotAllow)
+TEST_F(GatewayTest, refusesRequestsThatTheConfigurationDoesNotAllow)
 {
 	startGateway(settings(1));
 	EXPECT_EQ(statusOf(call("GET", "/safe/", "r1", "unknown")), 401u);
@@ -46,7 +46,7 @@
 	EXPECT_EQ(runsOf("r1") + runsOf("r2") + runsOf("r4"), 0u);
 }
 
-TEST_F(GatewayTest, aStreamPassesAsItIsMadeAndEndsWhole)
+TEST_F(GatewayTest, streamIsForwardedCompletely)
 {
 	startGateway(settings(1));
 	const std::string answer = call("GET", "/stream/once/", "r1");
@@ -58,7 +58,7 @@
 	EXPECT_TRUE(has(answer, "\r\n0\r\n\r\n"));
 }
 
-TEST_F(GatewayTest, aStreamThatMayBeResumedGoesOnElsewhereWithWholeEventsOnce)
+TEST_F(GatewayTest, resumableStreamContinuesElsewhereWithoutLossOrRepetition)
 {
 	startGateway(settings(1));
 	workers[0]->setFault(WorkerFault::CutsStream);
@@ -77,7 +77,7 @@
 	EXPECT_GT(workers[0]->runs().size(), 0u);
 }
 
-TEST_F(GatewayTest, aStreamThatBreaksAndMayNotBeResumedNeverLooksWhole)
+TEST_F(GatewayTest, brokenStreamThatIsNotResumableNeverLooksComplete)
 {
 	startGateway(settings(1));
 	setFaults(WorkerFault::CutsStream);
@@ -87,7 +87,7 @@
 	EXPECT_EQ(runsOf("r1"), 1u);
 }
 
-TEST_F(GatewayTest, aCallThatMayNotBeRepeatedIsSentOnceAndItsLossIsNotCalledNotRun)
+TEST_F(GatewayTest, unsafeRequestIsSentOnceAndItsLossIsNotReportedAsNotRun)
 {
 	startGateway(settings(1));
 	unsigned number = 0;
@@ -103,7 +103,7 @@
 	}
 }
 
-TEST_F(GatewayTest, aCallThatNoWorkerRanIsPromisedNotToHaveRun)
+TEST_F(GatewayTest, requestThatNoWorkerRanIsReportedAsNotRun)
 {
 	startGateway(settings(1));
 	for (const WorkerFault fault : {WorkerFault::Rejects, WorkerFault::Misdirected})
@@ -116,7 +116,7 @@
 	}
 }
 
-TEST_F(GatewayTest, aSafeCallIsRepeatedElsewhereWithinItsAttempts)
+TEST_F(GatewayTest, safeRequestIsRetriedElsewhereWithinItsAttempts)
 {
 	startGateway(settings(1));
 	workers[0]->setFault(WorkerFault::Resets);
@@ -130,7 +130,7 @@
 	EXPECT_LE(runsOf("last"), 2u);
 }
 
-TEST_F(GatewayTest, aRequestIsAnsweredAtItsRoutesTimeout)
+TEST_F(GatewayTest, requestIsAnsweredAtTheTimeoutOfItsRoute)
 {
 	startGateway(settings(1));
 	setFaults(WorkerFault::Hangs);
@@ -141,14 +141,14 @@
 	EXPECT_GE(monotonicNow() - before, 1900 * kMillisecond);
 }
 
-TEST_F(GatewayTest, aWorkerIsToldAtOnceThatItsCallerLeft)
+TEST_F(GatewayTest, workerIsNotifiedWhenItsCallerDisconnects)
 {
 	startGateway(settings(1));
 	setFaults(WorkerFault::Hangs);
 	Caller caller({host(1), kCallerPort});
-	caller.say(request("POST", "/unsafe/", "r1", std::string(platform::kApiKey) + ": key\r\n", "body"));
+	caller.sendBytes(request("POST", "/unsafe/", "r1", std::string(platform::kApiKey) + ": key\r\n", "body"));
 	ASSERT_TRUE(await([&] { return runsOf("r1") == 1; }));
-	caller.leave();
+	caller.disconnect();
 	const auto ended = [&]
 	{
 		for (auto& worker : workers)
@@ -166,15 +166,15 @@
 	EXPECT_TRUE(await(ended, 500 * kMillisecond));
 }
 
-TEST_F(GatewayTest, halfAHeaderAndASilentCallerAreNotHeldForLong)
+TEST_F(GatewayTest, incompleteHeaderAndIdleConnectionTimeOut)
 {
 	startGateway(settings(1));
 	Caller slow({host(1), kCallerPort});
-	slow.say("GET /safe/ HTTP/1.1\r\nHost: h.exa");
-	EXPECT_EQ(statusOf(slow.hear("", 2 * kSecond)), 408u);
+	slow.sendBytes("GET /safe/ HTTP/1.1\r\nHost: h.exa");
+	EXPECT_EQ(statusOf(slow.receiveUntil("", 2 * kSecond)), 408u);
 	EXPECT_TRUE(slow.ended);
 	Caller silent({host(1), kCallerPort});
-	EXPECT_EQ(silent.hear("", 4 * kSecond), "");
+	EXPECT_EQ(silent.receiveUntil("", 4 * kSecond), "");
 	EXPECT_TRUE(silent.ended);
 }
 
@@ -191,24 +191,24 @@
 	for (const auto& [bytes, status] : cases)
 	{
 		Caller caller({host(1), kCallerPort});
-		caller.say(bytes);
-		EXPECT_EQ(statusOf(caller.hear("", 2 * kSecond)), status) << bytes.substr(0, 80);
+		caller.sendBytes(bytes);
+		EXPECT_EQ(statusOf(caller.receiveUntil("", 2 * kSecond)), status) << bytes.substr(0, 80);
 	}
 	EXPECT_TRUE(workers[0]->runs().empty());
 	EXPECT_TRUE(workers[1]->runs().empty());
 }
 
-TEST_F(GatewayTest, aPlannedStopCutsNothingOff)
+TEST_F(GatewayTest, gracefulStopAbortsNoRequest)
 {
 	startGateway(settings(1));
 	Caller running({host(1), kCallerPort});
 	const std::string key = std::string(platform::kApiKey) + ": key\r\n";
-	running.say(request("GET", "/stream/once/", "r1", key));
+	running.sendBytes(request("GET", "/stream/once/", "r1", key));
 	ASSERT_TRUE(await([&] { return runsOf("r1") == 1; }));
 	gateways[0]->requestStop();
 	EXPECT_TRUE(await([&] { return !isReady({host(1), kReadyPort}); }, kSecond));
 	EXPECT_EQ(statusOf(call("GET", "/safe/", "r2")), 200u) << "requests are taken until the balancer has noticed";
-	EXPECT_TRUE(has(running.hear("\r\n0\r\n\r\n"), "\r\n0\r\n\r\n"));
+	EXPECT_TRUE(has(running.receiveUntil("\r\n0\r\n\r\n"), "\r\n0\r\n\r\n"));
 	std::this_thread::sleep_for(std::chrono::milliseconds(700));
 	const std::string late = call("GET", "/safe/", "r3");
 	EXPECT_TRUE(late.empty() || (statusOf(late) == 503 && has(late, "Retry-After"))) << late;
--- a/tests/identitytest.cpp
+++ b/tests/identitytest.cpp
@@ -2,8 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Backend servers that start again under the id that they had: nothing known of an incarnation may keep work from
-/// a later one or send work to it.
+/// Tests of backend servers that restart with the same id: nothing known about one incarnation may keep requests
+/// from a later one or send requests to it.
 
 #include "coordination/balancer.h"
 #include "coordination/directory.h"
@@ -18,7 +18,7 @@
 {
 namespace
 {
-constexpr std::uint64_t kFirst = 1000; ///< Start of the first incarnation, in Unix milliseconds.
+constexpr std::uint64_t kFirstStart = 1000; ///< Start time of the first incarnation, in Unix milliseconds.
 constexpr std::uint64_t kSecondStart = 2000;
 
 BackendRecord recordOf(const std::string& _id, std::uint64_t _born, bool _draining = false)
@@ -31,7 +31,7 @@
 	return record;
 }
 
-/// What one directory is told: a list or a peer's word.
+/// What a directory receives: a list, or a peer's notice.
 struct Event
 {
 	unsigned kind = 0;
@@ -46,52 +46,52 @@
 }
 } // namespace
 
-TEST(Identity, oneThatLeftAndStartsAgainUnderItsIdTakesWork)
+TEST(Identity, restartedServerTakesWorkAfterItLeft)
 {
 	Directory directory;
-	directory.applyList({1, {recordOf("a", kFirst, true)}, kSecond}, kSecond);
-	EXPECT_FALSE(directory.takesWork({"a", kFirst}, kSecond));
+	directory.applyList({1, {recordOf("a", kFirstStart, true)}, kSecond}, kSecond);
+	EXPECT_FALSE(directory.takesWork({"a", kFirstStart}, kSecond));
 	directory.applyList({2, {recordOf("a", kSecondStart)}, 2 * kSecond}, 2 * kSecond);
 	EXPECT_TRUE(directory.takesWork({"a", kSecondStart}, 2 * kSecond));
 	EXPECT_EQ(directory.usableOf("model", 2 * kSecond).size(), 1u);
-	EXPECT_FALSE(directory.takesWork({"a", kFirst}, 2 * kSecond));
+	EXPECT_FALSE(directory.takesWork({"a", kFirstStart}, 2 * kSecond));
 	EXPECT_TRUE(directory.drainingSince(0).empty());
 }
 
-TEST(Identity, whatWasSaidOfAnEarlierIncarnationSaysNothingOfTheLaterOne)
+TEST(Identity, noticesOfAnEarlierIncarnationDoNotAffectALaterOne)
 {
 	Directory directory;
-	directory.applyList({1, {recordOf("a", kFirst)}, kSecond}, kSecond);
+	directory.applyList({1, {recordOf("a", kFirstStart)}, kSecond}, kSecond);
 	directory.applyList({2, {recordOf("a", kSecondStart)}, kSecond}, kSecond);
-	directory.markDraining({"a", kFirst}, LeavingSign::Peer, kSecond);
-	directory.markMisdirected({"a", kFirst});
+	directory.markDraining({"a", kFirstStart}, LeavingSign::Peer, kSecond);
+	directory.markMisdirected({"a", kFirstStart});
 	EXPECT_TRUE(directory.takesWork({"a", kSecondStart}, kSecond));
 	directory.markMisdirected({"a", kSecondStart});
 	EXPECT_FALSE(directory.takesWork({"a", kSecondStart}, kSecond));
 }
 
-TEST(Identity, aLateWriteOfAnEarlierIncarnationReplacesNothing)
+TEST(Identity, lateWriteOfAnEarlierIncarnationIsIgnored)
 {
 	Directory directory;
 	directory.applyList({1, {recordOf("a", kSecondStart)}, kSecond}, kSecond);
-	directory.applyList({2, {recordOf("a", kFirst, true)}, kSecond}, kSecond);
+	directory.applyList({2, {recordOf("a", kFirstStart, true)}, kSecond}, kSecond);
 	EXPECT_TRUE(directory.takesWork({"a", kSecondStart}, kSecond));
 	directory.applyList({3, {recordOf("a", kSecondStart, true)}, kSecond}, kSecond);
-	directory.applyList({4, {recordOf("a", kFirst)}, kSecond}, kSecond);
+	directory.applyList({4, {recordOf("a", kFirstStart)}, kSecond}, kSecond);
 	EXPECT_TRUE(directory.usableOf("model", kSecond).empty());
 }
 
-TEST(Identity, loadsAndFailuresEndWithTheIncarnation)
+TEST(Identity, loadAndFailuresEndWithTheIncarnation)
 {
 	Balancer balancer("z1");
 	KnownBackend before;
-	before.record = recordOf("a", kFirst);
+	before.record = recordOf("a", kFirstStart);
 	before.key = BackendKey(before.record.identity());
 	KnownBackend after = before;
 	after.record.born = kSecondStart;
 	after.key = BackendKey(after.record.identity());
 	KnownBackend other;
-	other.record = recordOf("b", kFirst);
+	other.record = recordOf("b", kFirstStart);
 	other.key = BackendKey(other.record.identity());
 	const PlacementRequest call;
 	balancer.onSent(before.key, call);
@@ -105,9 +105,9 @@
 	EXPECT_EQ(balancer.choose({&after, &other}, call, {}, kSecond).backend, &after);
 }
 
-/// Lists come in the order of their revisions, since older ones are passed over; what they name, and what peers say
-/// meanwhile, comes in any order, doubled and late.
-RC_GTEST_PROP(Identity, theNewestIncarnationAloneDecides, ())
+/// Lists arrive in the order of their revisions, since older ones are ignored. The incarnations they contain, and
+/// the notices of peers, arrive in any order, repeated and late.
+RC_GTEST_PROP(Identity, onlyTheNewestIncarnationDecides, ())
 {
 	Directory directory;
 	std::uint64_t revision = 0;
@@ -129,7 +129,7 @@
 		}
 		else if (isList)
 		{
-			// Nobody can read what stands there now.
+			// The entry is unreadable now.
 			directory.applyList({++revision, {}, now, {"a"}}, now);
 			present = false;
 		}
@@ -148,7 +148,7 @@
 	}
 }
 
-TEST_F(GatewayTest, aServerThatLeftAndStartedAgainUnderItsIdIsSentWorkByAllGateways)
+TEST_F(GatewayTest, restartedServerGetsRequestsFromAllGateways)
 {
 	startGateway(settings(1));
 	startGateway(settings(2));
