--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -129,7 +129,7 @@
 	if (keyUnknown || (keyNeeded && !m_team))
 	{
 		const bool mayBeNewer = stale && keyUnknown;
-		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "no such key",
+		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "unknown API key",
 			   kStoreUnavailableRetryAfter);
 		return false;
 	}
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -293,10 +293,10 @@
 	}
 	if (decision == AttemptDecision::AnswerNotRun)
 	{
-		refuse(Failure::NoBackend, "no backend server took the request", retryAfter(now));
+		refuse(Failure::NoBackend, "no backend server accepted the request", retryAfter(now));
 		return;
 	}
-	refuse(Failure::BackendLost, "the backend server gave no answer");
+	refuse(Failure::BackendLost, "the backend server did not answer");
 }
 
 void Exchange::abortStream()
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -30,7 +30,7 @@
 	case ParseFault::BodyTooLarge:
 		return makeErrorAnswer(413, Failure::BodyTooLarge, "the body is too large", 0);
 	default:
-		return makeErrorAnswer(400, Failure::MalformedRequest, "this is no request", 0);
+		return makeErrorAnswer(400, Failure::MalformedRequest, "malformed HTTP request", 0);
 	}
 }
 } // namespace
@@ -51,7 +51,7 @@
 	server->onMalformed = malformedAnswer;
 	server->onTimeout = []
 	{
-		return makeErrorAnswer(408, Failure::RequestTimeout, "the request came too slowly", 0);
+		return makeErrorAnswer(408, Failure::RequestTimeout, "the request arrived too slowly", 0);
 	};
 	server->limits = [this]
 	{
@@ -200,7 +200,7 @@
 		_session->answer(HttpAnswer{200, {{"Content-Type", "text/plain; version=0.0.4"}}, formatMetrics()});
 		return;
 	}
-	_session->answer(makeErrorAnswer(404, Failure::NoRoute, "no such page", 0));
+	_session->answer(makeErrorAnswer(404, Failure::NoRoute, "unknown path", 0));
 }
 
 std::string Gateway::formatMetrics()
--- a/tests/backendentrytest.cpp
+++ b/tests/backendentrytest.cpp
@@ -136,7 +136,7 @@
 	items["servers/a"] = itemOf("servers/a", withoutStartTime.dump(), 1);
 	items["servers/b"] = itemOf("servers/b", withoutStartTime.dump(), 2);
 	items["servers/c"] = itemOf("servers/c", validEntry().dump(), 3);
-	EXPECT_EQ(records.read(items).records.size(), 3u) << "one entry that tells it must not shut the others out";
+	EXPECT_EQ(records.read(items).records.size(), 3u) << "one entry with a start time must not exclude the others";
 	items["servers/d"] = itemOf("servers/d", validEntry().dump(), 4);
 	items["servers/e"] = itemOf("servers/e", validEntry().dump(), 5);
 	EXPECT_EQ(records.read(items).records.size(), 3u);
@@ -185,7 +185,7 @@
 	directory.applyList({2, {}, kSecond, {"w1"}}, kSecond);
 	EXPECT_TRUE(directory.usableOf("s", kSecond).empty());
 	EXPECT_FALSE(directory.takesWork(record.identity(), kSecond));
-	EXPECT_TRUE(directory.drainingSince(0).empty()) << "peers would be told that it leaves, which is final";
+	EXPECT_TRUE(directory.drainingSince(0).empty()) << "peers would learn that it is leaving, which is final";
 	directory.applyList({3, {record}, 2 * kSecond}, 2 * kSecond);
 	EXPECT_EQ(directory.usableOf("s", 2 * kSecond).size(), 1u);
 }
--- a/tests/gatewayfixture.h
+++ b/tests/gatewayfixture.h
@@ -225,7 +225,8 @@
 	void startGateway(const GatewaySettings& _settings)
 	{
 		gateways.push_back(std::make_unique<RunningGateway>(_settings));
-		ASSERT_TRUE(await([&] { return isReady(_settings.readiness); })) << _settings.name << " did not get ready";
+		ASSERT_TRUE(await([&] { return isReady(_settings.readiness); }))
+			<< _settings.name << " did not become ready";
 	}
 
 	static bool isReady(const Address& _address)
--- a/tests/gatewaystoretest.cpp
+++ b/tests/gatewaystoretest.cpp
@@ -17,7 +17,8 @@
 	EXPECT_EQ(statusOf(call("GET", "/safe/", "r3", "other")), 200u);
 	store->put(platform::kConfigKey, "{\"version\": 3}");
 	std::this_thread::sleep_for(std::chrono::milliseconds(1200));
-	EXPECT_EQ(statusOf(call("GET", "/safe/", "r4", "other")), 200u) << "the last good configuration stays in force";
+	EXPECT_EQ(statusOf(call("GET", "/safe/", "r4", "other")), 200u)
+		<< "an invalid configuration must not replace the last valid one";
 }
 
 TEST_F(GatewayTest, storeOutageRefusesKeysInTimeButServesAnonymousRequests)
@@ -92,7 +93,7 @@
 	{
 		EXPECT_EQ(statusOf(call("GET", "/safe/", "g" + std::to_string(number), "other", 2 + number % 3)), 200u);
 	}
-	EXPECT_EQ(workers[0]->runs().size(), runs) << "a record that is gone is not used by one that asks its relay";
+	EXPECT_EQ(workers[0]->runs().size(), runs) << "a removed record is used by a gateway that asks its relay";
 }
 
 TEST_F(GatewayTest, serversWhoseRecordsExpireInAnOutageStayInUse)
@@ -189,9 +190,9 @@
 		}
 		return sum;
 	};
-	EXPECT_TRUE(await([&] { return counted() == 2; }, 6 * kSecond)) << counted() << " counted of two that ran";
+	EXPECT_TRUE(await([&] { return counted() == 2; }, 6 * kSecond)) << counted() << " counted, but two ran";
 	std::this_thread::sleep_for(std::chrono::seconds(1));
-	EXPECT_EQ(counted(), 2u) << "what an engine rejected is not counted";
+	EXPECT_EQ(counted(), 2u) << "a rejected request was counted";
 }
 
 TEST_F(GatewayTest, usageCountsSurviveARestartOfAllGateways)
@@ -272,7 +273,7 @@
 	ASSERT_TRUE(await(threeWindowsReported, 12 * kSecond));
 	for (const auto& [window, count] : reported)
 	{
-		EXPECT_EQ(count, kRuns) << "window " << window - current << " after the holder's end";
+		EXPECT_EQ(count, kRuns) << "window " << window - current << " after the previous holder stopped";
 	}
 }
 
--- a/tests/gatewaytest.cpp
+++ b/tests/gatewaytest.cpp
@@ -83,7 +83,7 @@
 	setFaults(WorkerFault::CutsStream);
 	const std::string answer = call("GET", "/stream/once/", "r1");
 	EXPECT_FALSE(has(answer, "\r\n0\r\n\r\n"));
-	EXPECT_EQ(answer.find("id: 5\n"), std::string::npos) << "part of an event was passed on";
+	EXPECT_EQ(answer.find("id: 5\n"), std::string::npos) << "part of an event was forwarded";
 	EXPECT_EQ(runsOf("r1"), 1u);
 }
 
@@ -207,7 +207,8 @@
 	ASSERT_TRUE(await([&] { return runsOf("r1") == 1; }));
 	gateways[0]->requestStop();
 	EXPECT_TRUE(await([&] { return !isReady({host(1), kReadyPort}); }, kSecond));
-	EXPECT_EQ(statusOf(call("GET", "/safe/", "r2")), 200u) << "requests are taken until the balancer has noticed";
+	EXPECT_EQ(statusOf(call("GET", "/safe/", "r2")), 200u)
+		<< "requests are accepted until the load balancer has noticed";
 	EXPECT_TRUE(has(running.receiveUntil("\r\n0\r\n\r\n"), "\r\n0\r\n\r\n"));
 	std::this_thread::sleep_for(std::chrono::milliseconds(700));
 	const std::string late = call("GET", "/safe/", "r3");
