--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -21,12 +21,12 @@
 	return EntryRef{_json.at(0).get<std::string>(), _json.at(1).get<std::uint64_t>()};
 }
 
-Json encode(const ClaimRequestRef& _ask)
+Json encode(const ClaimRequestRef& _requestRef)
 {
-	return Json::array({_ask.entry.id, _ask.entry.incarnation, _ask.number});
+	return Json::array({_requestRef.entry.id, _requestRef.entry.incarnation, _requestRef.number});
 }
 
-ClaimRequestRef decodeAsk(const Json& _json)
+ClaimRequestRef decodeClaimRequestRef(const Json& _json)
 {
 	return ClaimRequestRef{decodeEntry(_json), _json.at(2).get<std::uint64_t>()};
 }
@@ -55,7 +55,7 @@
 	Claim claim;
 	claim.key = _json.at("k").get<std::string>();
 	claim.digest = _json.at("d").get<std::uint64_t>();
-	claim.executor = decodeAsk(_json.at("x"));
+	claim.executor = decodeClaimRequestRef(_json.at("x"));
 	claim.state = decodeEnum(_json.at("s"), ClaimState::Released);
 	claim.generation = _json.at("g").get<std::uint64_t>();
 	return claim;
@@ -236,30 +236,30 @@
 	handover.deadlineLeft = _json.at("left").get<Micros>();
 	if (_json.contains("r"))
 	{
-		handover.released = decodeAsk(_json.at("r"));
+		handover.released = decodeClaimRequestRef(_json.at("r"));
 	}
 	return handover;
 }
 
-ClaimRequest decodeClaimAsk(const Json& _json)
+ClaimRequest decodeClaimRequest(const Json& _json)
 {
-	ClaimRequest ask;
-	ask.ask = decodeAsk(_json.at("ask"));
-	ask.key = _json.at("k").get<std::string>();
-	ask.digest = _json.at("d").get<std::uint64_t>();
-	ask.rosterVersion = _json.at("v").get<std::uint64_t>();
-	ask.issuedVersion = _json.at("i").get<std::uint64_t>();
+	ClaimRequest request;
+	request.ask = decodeClaimRequestRef(_json.at("ask"));
+	request.key = _json.at("k").get<std::string>();
+	request.digest = _json.at("d").get<std::uint64_t>();
+	request.rosterVersion = _json.at("v").get<std::uint64_t>();
+	request.issuedVersion = _json.at("i").get<std::uint64_t>();
 	if (_json.contains("r"))
 	{
-		ask.released = decodeAsk(_json.at("r"));
+		request.released = decodeClaimRequestRef(_json.at("r"));
 	}
-	return ask;
+	return request;
 }
 
 ClaimReply decodeClaimReply(const Json& _json)
 {
 	ClaimReply reply;
-	reply.ask = decodeAsk(_json.at("ask"));
+	reply.ask = decodeClaimRequestRef(_json.at("ask"));
 	reply.key = _json.at("k").get<std::string>();
 	reply.verdict = decodeEnum(_json.at("w"), ClaimVerdict::Mismatch);
 	reply.claim = decodeClaim(_json.at("c"));
@@ -271,7 +271,7 @@
 {
 	ClaimUpdate update;
 	update.key = _json.at("k").get<std::string>();
-	update.executor = decodeAsk(_json.at("x"));
+	update.executor = decodeClaimRequestRef(_json.at("x"));
 	update.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	if (_json.contains("a"))
 	{
@@ -291,14 +291,14 @@
 	return seal;
 }
 
-AttachRequest decodeAttachAsk(const Json& _json)
+AttachRequest decodeAttachRequest(const Json& _json)
 {
-	AttachRequest ask;
-	ask.attach = _json.at("n").get<std::uint64_t>();
-	ask.key = _json.at("k").get<std::string>();
-	ask.executor = decodeAsk(_json.at("x"));
-	ask.offset = _json.at("o").get<std::uint64_t>();
-	return ask;
+	AttachRequest request;
+	request.attach = _json.at("n").get<std::uint64_t>();
+	request.key = _json.at("k").get<std::string>();
+	request.executor = decodeClaimRequestRef(_json.at("x"));
+	request.offset = _json.at("o").get<std::uint64_t>();
+	return request;
 }
 
 AttachTokens decodeAttachTokens(const Json& _json)
@@ -326,7 +326,7 @@
 	const std::string type = _json.at("t").get<std::string>();
 	if ("ask" == type)
 	{
-		return decodeClaimAsk(_json);
+		return decodeClaimRequest(_json);
 	}
 	if ("reply" == type)
 	{
@@ -346,7 +346,7 @@
 	}
 	if ("attach" == type)
 	{
-		return decodeAttachAsk(_json);
+		return decodeAttachRequest(_json);
 	}
 	if ("tokens" == type)
 	{
