--- a/src/daemon/calleradapter.cpp
+++ b/src/daemon/calleradapter.cpp
@@ -57,7 +57,7 @@
 	const std::string_view value = findHeader(_request.headers, "Authorization");
 	if (!value.starts_with(kBearerPrefix))
 	{
-		throw Error(Failure::UnknownToken, "Authorization: a bearer token is needed");
+		throw Error(Failure::UnknownToken, "Authorization: a bearer token is required");
 	}
 	return std::string(value.substr(kBearerPrefix.size()));
 }
@@ -115,7 +115,7 @@
 		m_exchanges[_exchange] = std::move(exchange);
 		if (!m_submit(std::move(event)))
 		{
-			throw Error(Failure::Overloaded, "this entry has too much to do");
+			throw Error(Failure::Overloaded, "this entry is overloaded");
 		}
 	}
 	catch (const Error& error)
@@ -293,7 +293,7 @@
 	const bool started = it->second.started;
 	m_exchanges.erase(it);
 	const std::string name = requestName(m_self, _action.exchange);
-	Json body = problem(Failure::Moved, "another entry goes on with it; send it again with this key", name);
+	Json body = problem(Failure::Moved, "another entry continues this request; repeat it with this key", name);
 	body["key"] = _action.key;
 	body["offset"] = _action.offset;
 	if (started)
--- a/src/daemon/controlapp.cpp
+++ b/src/daemon/controlapp.cpp
@@ -400,7 +400,7 @@
 	std::string number = std::to_string(change.ask);
 	if (!m_queue.submit(std::move(change)))
 	{
-		throw Error(Failure::Overloaded, "the decision thread has too much to do");
+		throw Error(Failure::Overloaded, "the decision thread is overloaded");
 	}
 	return number;
 }
--- a/src/daemon/corequeue.h
+++ b/src/daemon/corequeue.h
@@ -44,7 +44,7 @@
 		std::future<std::string> answer = pendingQuery.answer->get_future();
 		if (!push(std::make_unique<Message>(std::move(pendingQuery))))
 		{
-			throw Error(Failure::Overloaded, "the decision thread has too much to do");
+			throw Error(Failure::Overloaded, "the decision thread is overloaded");
 		}
 		if (std::future_status::ready != answer.wait_for(kQueryTimeout))
 		{
--- a/src/daemon/entryapp.cpp
+++ b/src/daemon/entryapp.cpp
@@ -288,7 +288,7 @@
 	}
 	if (!json.empty() && !m_queue.submit(std::move(arrived)))
 	{
-		throw Error(Failure::Overloaded, "the decision thread has too much to do");
+		throw Error(Failure::Overloaded, "the decision thread is overloaded");
 	}
 	return report();
 }
@@ -315,7 +315,7 @@
 		PeerEnvelope envelope = decodeEnvelope(_request.body);
 		if (envelope.to != m_self)
 		{
-			return HttpAnswer{410, {}, "another run of this entry was meant\n"};
+			return HttpAnswer{410, {}, "the message is for another incarnation\n"};
 		}
 		for (PeerMessage& message : envelope.messages)
 		{
--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -103,9 +103,9 @@
 
 int readEntryOptions(int _argc, const char* const* _argv, EntryOptions& _options, bool& _shouldExit)
 {
-	CLI::App app("Takes callers' requests and sends them to backend servers.", "beacongate-entry");
+	CLI::App app("Accepts callers' requests and forwards them to backend servers.", "beacongate-entry");
 	app.set_version_flag("--version", kVersion);
-	app.add_option("--id", _options.id, "Id of this entry, the same after a restart")
+	app.add_option("--id", _options.id, "Id of this entry, unchanged by a restart")
 		->envname("BEACONGATE_ID")
 		->required();
 	app.add_option("--data-centre", _options.dataCentre, "Data centre of this VM")
@@ -115,9 +115,10 @@
 	addAddress(app, "--internal", _options.internal, "Address for control, other entries and operators")
 		->envname("BEACONGATE_INTERNAL")
 		->required();
-	addMillis(app, "--stop-grace-ms", _options.stopGrace, "How long requests are still taken after SIGTERM [2000]")
+	addMillis(app, "--stop-grace-ms", _options.stopGrace,
+			  "How long requests are still accepted after SIGTERM [2000]")
 		->envname("BEACONGATE_STOP_GRACE_MS");
-	addMillis(app, "--stop-notice-ms", _options.stopNotice, "When a stop ends at the latest [30000]")
+	addMillis(app, "--stop-notice-ms", _options.stopNotice, "Time limit of a stop after SIGTERM [30000]")
 		->envname("BEACONGATE_STOP_NOTICE_MS");
 	app.add_option("--seed", _options.seed, "Seed of the random generator [1]")->envname("BEACONGATE_SEED");
 	const int code = parse(app, _argc, _argv, _shouldExit);
@@ -144,12 +145,12 @@
 
 int readControlOptions(int _argc, const char* const* _argv, ControlOptions& _options, bool& _shouldExit)
 {
-	CLI::App app("Brings configuration, roster and VM list to the entry beside it.", "beacongate-control");
+	CLI::App app("Provides the entry on this VM with configuration, roster and VM list.", "beacongate-control");
 	app.set_version_flag("--version", kVersion);
 	ControlSettings& core = _options.core;
 	Address vmList;
 	std::vector<std::string> seeds;
-	app.add_option("--id", core.id, "Id of the entry beside it")->envname("BEACONGATE_ID")->required();
+	app.add_option("--id", core.id, "Id of the entry on this VM")->envname("BEACONGATE_ID")->required();
 	app.add_option("--region", core.region, "Region of this VM")->envname("BEACONGATE_REGION")->required();
 	app.add_option("--data-centre", core.dataCentre, "Data centre of this VM")
 		->envname("BEACONGATE_DATA_CENTRE")
@@ -158,7 +159,7 @@
 	addAddress(app, "--listen", _options.listen, "Address for other controls and operators")
 		->envname("BEACONGATE_CONTROL_LISTEN")
 		->required();
-	addAddress(app, "--entry", _options.entry, "Internal address of the entry beside it")
+	addAddress(app, "--entry", _options.entry, "Internal address of the entry on this VM")
 		->envname("BEACONGATE_ENTRY")
 		->required();
 	addAddress(app, "--store", _options.store, "Address of the key-value service")
@@ -166,7 +167,7 @@
 		->required();
 	CLI::Option* list =
 		addAddress(app, "--vm-list", vmList, "Address of the VM list")->envname("BEACONGATE_VM_LIST");
-	app.add_option("--peer", seeds, "Address of another control, for the time before there is a roster")
+	app.add_option("--peer", seeds, "Address of another control, used until there is a roster")
 		->type_name("IP:PORT")
 		->envname("BEACONGATE_PEERS");
 	app.add_option("--seed", core.seed, "Seed of the random generator [1]")->envname("BEACONGATE_SEED");
--- a/src/protocol/configdoc.cpp
+++ b/src/protocol/configdoc.cpp
@@ -39,7 +39,7 @@
 		};
 		if (std::none_of(_allowed.begin(), _allowed.end(), isName))
 		{
-			reject(_where, "'" + name + "' is not known");
+			reject(_where, "'" + name + "' is not a known field");
 		}
 	}
 }
@@ -72,7 +72,7 @@
 {
 	if (!_seen.insert(_name).second)
 	{
-		reject(_where, "'" + _name + "' stands twice");
+		reject(_where, "'" + _name + "' is used twice");
 	}
 }
 
@@ -211,7 +211,7 @@
 		}
 	}
 	throw Error(_failure,
-				std::string(_where) + ": '" + std::string(_text) + "' is no IP number and port (IP:port)");
+				std::string(_where) + ": '" + std::string(_text) + "' is not an IP address and port (IP:port)");
 }
 
 std::string toString(const Address& _address)
--- a/src/protocol/openai.cpp
+++ b/src/protocol/openai.cpp
@@ -232,7 +232,7 @@
 		const auto [end, error] = std::from_chars(_event.id.data(), last, offset);
 		if (std::errc{} != error || last != end)
 		{
-			throw Error(Failure::BackendLost, "stream chunk: the event id is no offset");
+			throw Error(Failure::BackendLost, "stream chunk: the event id is not an offset");
 		}
 		chunk.offset = offset;
 	}
--- a/src/protocol/query.cpp
+++ b/src/protocol/query.cpp
@@ -46,7 +46,7 @@
 	{
 		if (empty())
 		{
-			reject(std::string("the statement ends where ") + _what + " should stand");
+			reject(std::string("the statement ends where ") + _what + " is expected");
 		}
 		return m_words[m_next++];
 	}
@@ -56,7 +56,7 @@
 		const std::string word = take(_word);
 		if (word != _word)
 		{
-			reject("'" + word + "' stands where '" + _word + "' should");
+			reject("'" + word + "' was found where '" + _word + "' is expected");
 		}
 	}
 
@@ -64,7 +64,7 @@
 	{
 		if (!empty())
 		{
-			reject("'" + m_words[m_next] + "' is one word too many");
+			reject("'" + m_words[m_next] + "' is an unexpected word");
 		}
 	}
 
@@ -91,7 +91,7 @@
 	{
 		return Compare::Greater;
 	}
-	reject("'" + _word + "' is none of =, !=, <, >");
+	reject("'" + _word + "' is not one of =, !=, <, >");
 }
 
 std::optional<double> asNumber(const std::string& _text)
@@ -155,7 +155,7 @@
 	{
 		return {"backends", "id"};
 	}
-	reject("'" + _kind + "' is none of team, service, backend");
+	reject("'" + _kind + "' is not one of team, service, backend");
 }
 
 Json::iterator findItem(Json& _document, const ItemLocation& _location, const std::string& _name)
@@ -219,12 +219,12 @@
 	}
 	if ("show" != verb)
 	{
-		reject("'" + verb + "' is no query");
+		reject("'" + verb + "' is not a query");
 	}
 	query.table = words.take("a table");
 	if (kTables.end() == std::find(kTables.begin(), kTables.end(), query.table))
 	{
-		reject("'" + query.table + "' is none of backends, requests, teams, services, entries, config");
+		reject("'" + query.table + "' is not one of backends, requests, teams, services, entries, config");
 	}
 	if (words.empty())
 	{
@@ -308,12 +308,12 @@
 		words.expectEnd();
 		if (column == location.idMember)
 		{
-			reject("'" + column + "' names the item and cannot be set");
+			reject("'" + column + "' identifies the item and cannot be set");
 		}
 		(*findItem(next, location, name))[column] = readValue(value);
 		return next;
 	}
-	reject("'" + verb + "' is none of show, explain, set, drain, undrain, remove, apply");
+	reject("'" + verb + "' is not one of show, explain, set, drain, undrain, remove, apply");
 }
 
 } // namespace beacongate
--- a/src/protocol/quotacodec.cpp
+++ b/src/protocol/quotacodec.cpp
@@ -48,7 +48,7 @@
 	const double amount = _field.get<double>();
 	if (!std::isfinite(amount) || amount < 0.0)
 	{
-		throw Json::other_error::create(0, "no amount", nullptr);
+		throw Json::other_error::create(0, "not an amount", nullptr);
 	}
 	return amount;
 }
@@ -59,7 +59,7 @@
 	const auto outcome = _field.get<unsigned>();
 	if (outcome > static_cast<unsigned>(GrantOutcome::Unable))
 	{
-		throw Json::other_error::create(0, "no outcome", nullptr);
+		throw Json::other_error::create(0, "not an outcome", nullptr);
 	}
 	return static_cast<GrantOutcome>(outcome);
 }
--- a/src/protocol/statedump.cpp
+++ b/src/protocol/statedump.cpp
@@ -289,7 +289,7 @@
 						 parseNumber(last + 1, _name.size(), parsed.second);
 	if (!isValid)
 	{
-		throw Error(Failure::QueryInvalid, "'" + _name + "' is no request id (entry:incarnation:number)");
+		throw Error(Failure::QueryInvalid, "'" + _name + "' is not a request id (entry:incarnation:number)");
 	}
 	parsed.first.id = _name.substr(0, first);
 	return parsed;
--- a/src/protocol/usagecodec.cpp
+++ b/src/protocol/usagecodec.cpp
@@ -49,7 +49,7 @@
 	}
 	catch (const Json::exception& error)
 	{
-		throw Error(Failure::StoreUnavailable, std::string("counts of a window: ") + error.what());
+		throw Error(Failure::StoreUnavailable, std::string("usage totals: ") + error.what());
 	}
 }
 
