--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -424,11 +424,12 @@
 {
 	const double work = CapacityPlanner::combinedWork(m_context.demand.work(_service.name),
 													  m_context.demand.occupied(_service.name));
-	CapacityPlanner::Observation observation;
-	observation.work = work;
-	// A gateway that does not hear most of the fleet does not know the load, and keeps the current capacity.
-	const FleetLiveness& word = m_context.quotas.word();
-	const bool hearsMost = word.contact(_now) == FleetContact::Whole && word.silentShare(_now) < kMostSilent;
+	CapacityPlanner::Observation seen;
+	seen.work = work;
+	// One that does not hear of most gateways does not know the load, and keeps what stands.
+	const FleetLiveness& liveness = m_context.quotas.liveness();
+	const bool hearsMost =
+		liveness.contact(_now) == FleetContact::Established && liveness.silentShare(_now) < kMostSilent;
 	seen.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	seen.firstStart = m_context.settings.firstStart;
 	seen.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -76,8 +76,8 @@
 		return;
 	}
 	m_usageCounted = true;
-	const Micros startTime = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
-	m_context.usage.onRequestStarted(m_context.currentWindow(startTime), m_team->name);
+	const Micros began = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
+	m_context.usage.onRequestStarted(m_context.currentWindow(began), m_team->name);
 }
 
 void Exchange::onBody(std::string_view _bytes)
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -190,7 +190,7 @@
 				  {"gap_ms", millisText(gap.gap)},
 				  {"taken", std::to_string(static_cast<std::int64_t>(gap.taken))},
 				  {"level", std::to_string(static_cast<std::int64_t>(gap.levelBefore))},
-				  {"heard", std::to_string(m_context.quotas.word().gatewaysHeard(monotonicNow()))}});
+				  {"heard", std::to_string(m_context.quotas.liveness().gatewaysHeard(monotonicNow()))}});
 	}
 }
 
@@ -204,9 +204,9 @@
 	for (const QuotaTally& tally : m_context.quotas.takeTallies(_now))
 	{
 		std::string refused;
-		for (const auto& [bound, count] : tally.refused)
+		for (const auto& [reason, count] : tally.refused)
 		{
-			refused += (refused.empty() ? "" : ",") + std::string(toString(bound)) + ':' + std::to_string(count);
+			refused += (refused.empty() ? "" : ",") + std::string(toString(reason)) + ':' + std::to_string(count);
 		}
 		logEvent(LogLevel::Info, "quota-refused",
 				 {{"team", tally.team},
@@ -286,7 +286,7 @@
 
 std::vector<QuotaLevel> Gossiper::levelsFor(const std::string& _host, Micros _now) const
 {
-	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kSettling);
+	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kStartupSpan);
 	return young ? m_context.quotas.levelsToReport(_now) : std::vector<QuotaLevel>();
 }
 
@@ -364,7 +364,7 @@
 		send(report, host);
 		if (collecting || report.wantsSums)
 		{
-			m_watch.onAsked(host, _now);
+			m_watch.onContacted(host, _now);
 		}
 	}
 	if (m_round % kProbedEvery == 0)
@@ -424,7 +424,7 @@
 		targets.insert(topMembers.begin(), topMembers.end());
 		for (const std::string& host : topMembers)
 		{
-			m_watch.onAsked(host, _now);
+			m_watch.onContacted(host, _now);
 			m_collectors.push_back(host);
 		}
 		if (m_round % kProbedEvery == 0)
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -165,7 +165,7 @@
 {
 	// The collector before has told what this one counted too. Taken for news, everything that was taken since the
 	// start of a young fleet counted twice: a level of -78 requests where the burst is 60 (soak of 18 gateways).
-	return m_context.quotas.word().replacesAnother(_group, _source) ? kNever : _uptime;
+	return m_context.quotas.liveness().replacesAnother(_group, _source) ? kNever : _uptime;
 }
 
 void Gossiper::takeCounters(const std::string& _source, const GossipMessage& _message, Micros _uptime, Micros _now)
@@ -191,7 +191,7 @@
 		{
 			takeCounters(_message.host, _message, _message.uptime, _now);
 			m_context.quotas.onHeard(_message.host, _now, _message.echo);
-			m_context.quotas.adopt(_message.levels, _now);
+			m_context.quotas.adoptLevels(_message.levels, _now);
 		}
 		m_context.balancer.setPeerLoads(_message.host, _message.loads, _now);
 	}
@@ -235,7 +235,7 @@
 	const std::string source = "fleet/" + _message.host;
 	takeCounters(source, rest, countingSince("fleet", source, _message.uptime), _now);
 	m_context.quotas.onSums("fleet", source, _now, _message.echo, others->gateways);
-	m_context.quotas.adopt(_message.levels, _now);
+	m_context.quotas.adoptLevels(_message.levels, _now);
 	m_context.balancer.setPeerLoads("fleet", std::move(others->loads), _now);
 }
 
