--- a/src/daemon/clock.h
+++ b/src/daemon/clock.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Clock reads of the daemons, which read no clock anywhere else.
+/// Monotonic time and incarnation numbers of the daemons.
 
 #ifndef BEACONGATE_DAEMON_CLOCK_H
 #define BEACONGATE_DAEMON_CLOCK_H
--- a/src/daemon/options.h
+++ b/src/daemon/options.h
@@ -23,9 +23,9 @@
 };
 
 /// Reads the entry's settings.
-/// @param[out] _ended True if the program has to exit with the returned code: after --help or --version, or where a
-/// setting is invalid.
-/// @returns the exit code; kExitOk where `_ended` is false.
+/// @param[out] _shouldExit True if the program has to exit with the returned code: after --help or --version, or
+/// where a setting is invalid.
+/// @returns the exit code; kExitOk where `_shouldExit` is false.
 int readEntryOptions(int _argc, const char* const* _argv, EntryOptions& _options, bool& _shouldExit);
 
 /// Reads the control process's settings, with the parameters and result of readEntryOptions().
--- a/tests/buildstest.cpp
+++ b/tests/buildstest.cpp
@@ -146,13 +146,13 @@
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
-		const std::string whole = golden(name);
-		std::string changed = whole;
+		const std::string datagram = golden(name);
+		std::string changed = datagram;
 		changed[position % changed.size()] = static_cast<char>(byte);
 		decodeGossip(changed);
-		decodeGossip(whole + changed);
-		RC_ASSERT(!decodeGossip(whole + static_cast<char>(byte)));
-		RC_ASSERT(!decodeGossip(whole.substr(0, cutLength % whole.size())));
+		decodeGossip(datagram + changed);
+		RC_ASSERT(!decodeGossip(datagram + static_cast<char>(byte)));
+		RC_ASSERT(!decodeGossip(datagram.substr(0, cutLength % datagram.size())));
 	}
 }
 
--- a/tests/gatewayprotocoltest.cpp
+++ b/tests/gatewayprotocoltest.cpp
@@ -36,7 +36,8 @@
 	std::string unparsed;
 };
 
-/// Parses bytes in pieces whose sizes are taken from a list, repeatedly and modulo 40.
+/// Parses bytes in pieces of 1 to 40 bytes, whose sizes follow from the list in turn; an empty list gives one
+/// piece.
 ParseResult parse(MessageKind _kind, const std::string& _bytes, const std::vector<std::uint8_t>& _sizes = {},
 				  std::size_t _bodyLimit = kBodyLimit)
 {
--- a/tests/protocoltest.cpp
+++ b/tests/protocoltest.cpp
@@ -91,14 +91,14 @@
 	bytes += endEvents(OpenAiEndpoint::Chat, "m", "r", 1, 5);
 	SseReader reader;
 	std::vector<ModelChunk> chunks;
-	std::size_t at = 0;
+	std::size_t position = 0;
 	const auto feed = [&](std::size_t _count)
 	{
-		for (const SseEvent& event : reader.feed(std::string_view(bytes).substr(at, _count)))
+		for (const SseEvent& event : reader.feed(std::string_view(bytes).substr(position, _count)))
 		{
 			chunks.push_back(readChunk(event));
 		}
-		at = std::min(bytes.size(), at + _count);
+		position = std::min(bytes.size(), position + _count);
 	};
 	for (const std::uint8_t cut : _cuts)
 	{
