--- a/src/coordination/directory.cpp
+++ b/src/coordination/directory.cpp
@@ -9,35 +9,35 @@
 
 namespace beacongate
 {
-std::string_view toString(LeavingSign _sign)
+std::string_view toString(DepartureSource _source)
 {
-	switch (_sign)
+	switch (_source)
 	{
-	case LeavingSign::Record:
+	case DepartureSource::Record:
 		return "record";
-	case LeavingSign::Missing:
+	case DepartureSource::Missing:
 		return "missing";
-	case LeavingSign::Unreadable:
+	case DepartureSource::Unreadable:
 		return "unreadable";
-	case LeavingSign::Peer:
+	case DepartureSource::Peer:
 		return "peer";
-	case LeavingSign::Answer:
+	case DepartureSource::Answer:
 		return "answer";
 	}
 	return "unknown";
 }
 
-std::string_view toString(Standing _standing)
+std::string_view toString(ListingState _standing)
 {
 	switch (_standing)
 	{
-	case Standing::Listed:
+	case ListingState::Listed:
 		return "listed";
-	case Standing::Lapsed:
+	case ListingState::Lapsed:
 		return "lapsed";
-	case Standing::Vanished:
+	case ListingState::Vanished:
 		return "vanished";
-	case Standing::Gone:
+	case ListingState::Gone:
 		return "gone";
 	}
 	return "unknown";
@@ -47,10 +47,11 @@
 {
 	if (_snapshot.revision < m_revision)
 	{
-		// A watch was faster than this read. What is known holds all that the read found, so the read confirms it:
-		// at the holder of the duties, reads that a watch outran had left the list unconfirmed for 3.9 s.
+		// A watch delivered newer content before this read ended. That content includes all that the read
+		// found, so the read confirms it. Without this, reads overtaken by a watch left the list of the duty
+		// holder unconfirmed for 3.9 s.
 		confirm(_snapshot.confirmed);
-		onUnchanged(_snapshot.confirmed);
+		confirmList(_snapshot.confirmed);
 		return false;
 	}
 	m_revision = _snapshot.revision;
@@ -68,13 +69,13 @@
 {
 	if (_list.revision < m_listRevision)
 	{
-		// A read of the whole store that began earlier: it would bring records back that have gone since.
-		onUnchanged(_list.confirmed);
+		// An earlier read of the whole store would bring back records that were removed since.
+		confirmList(_list.confirmed);
 		return;
 	}
-	// A list may also grow old because it comes slowly; records lapse only where the store could not be reached.
-	const bool lostSince = m_listConfirmed != kLongAgo && m_storeLost > m_listConfirmed;
-	if (lostSince && _now - m_listConfirmed > kOutage)
+	// A list may also be old because it arrived slowly; records expire only if the store was unreachable.
+	const bool unreachableSince = m_listConfirmed != kLongAgo && m_storeUnreachableAt > m_listConfirmed;
+	if (unreachableSince && _now - m_listConfirmed > kOutageThreshold)
 	{
 		m_outageEnded = _now;
 	}
@@ -84,7 +85,7 @@
 	mergeBackends(_list, lastListed, _now);
 }
 
-void Directory::onUnchanged(Micros _confirmed)
+void Directory::confirmList(Micros _confirmed)
 {
 	m_listConfirmed = std::max(m_listConfirmed, _confirmed);
 }
@@ -108,9 +109,9 @@
 		if (!present.count(it->first) && known.vanishedAt == kNever)
 		{
 			markVanished(known, _lastListed, _now);
-			m_leavingNotices.push_back({known.record.identity(), LeavingSign::Missing});
+			m_departureNotices.push_back({known.record.identity(), DepartureSource::Missing});
 		}
-		const bool forgotten = known.vanishedAt != kNever && _now - known.vanishedAt > kVanishedMemory;
+		const bool forgotten = known.vanishedAt != kNever && _now - known.vanishedAt > kVanishedRetention;
 		it = forgotten ? m_backends.erase(it) : std::next(it);
 	}
 }
@@ -120,8 +121,8 @@
 	KnownBackend& known = m_backends[_record.id];
 	if (_record.born < known.record.born)
 	{
-		// A write of an earlier incarnation that came late: the later one is as it was. One that does not tell its
-		// start is none of the server's own.
+		// A late write of an earlier incarnation does not change the later one. A record without a start time
+		// was not written by the server itself.
 		if (_record.born == 0)
 		{
 			markUnreadable(_record.id, _now);
@@ -140,7 +141,7 @@
 	if (known.record.draining && known.drainingSince == kNever)
 	{
 		known.drainingSince = _now;
-		m_leavingNotices.push_back({_record.identity(), LeavingSign::Record});
+		m_departureNotices.push_back({_record.identity(), DepartureSource::Record});
 	}
 	known.vanishedAt = kNever;
 	known.lapsedUntil = 0;
@@ -162,7 +163,7 @@
 	if (known.vanishedAt == kNever)
 	{
 		known.vanishedAt = _now;
-		m_leavingNotices.push_back({known.record.identity(), LeavingSign::Unreadable});
+		m_departureNotices.push_back({known.record.identity(), DepartureSource::Unreadable});
 	}
 	known.graceUntil = 0;
 	known.lapsedUntil = 0;
@@ -171,9 +172,9 @@
 void Directory::markVanished(KnownBackend& _known, Micros _lastListed, Micros _now)
 {
 	_known.vanishedAt = _now;
-	_known.graceUntil = std::min(_now + kVanishedGrace, _lastListed + m_drain.listLife);
-	const bool mayHaveLapsed = _now - m_outageEnded < kLapseReturn;
-	_known.lapsedUntil = mayHaveLapsed ? m_outageEnded + kLapseReturn : 0;
+	_known.graceUntil = std::min(_now + kVanishedGrace, _lastListed + m_drain.maxListAge);
+	const bool mayHaveLapsed = _now - m_outageEnded < kLapsedGrace;
+	_known.lapsedUntil = mayHaveLapsed ? m_outageEnded + kLapsedGrace : 0;
 }
 
 void Directory::confirm(Micros _confirmed)
@@ -201,20 +202,20 @@
 	}
 }
 
-void Directory::markDraining(const BackendIdentity& _backend, LeavingSign _sign, Micros _now)
+void Directory::markDraining(const BackendIdentity& _backend, DepartureSource _source, Micros _now)
 {
 	KnownBackend* known = find(_backend);
 	if (known && !known->record.draining)
 	{
 		known->record.draining = true;
 		known->drainingSince = _now;
-		m_leavingNotices.push_back({_backend, _sign});
+		m_departureNotices.push_back({_backend, _source});
 	}
 }
 
-std::vector<LeavingNotice> Directory::takeLeavingNotices()
+std::vector<DepartureNotice> Directory::takeDepartureNotices()
 {
-	return std::exchange(m_leavingNotices, {});
+	return std::exchange(m_departureNotices, {});
 }
 
 std::vector<BackendIdentity> Directory::drainingSince(Micros _moment) const
@@ -235,32 +236,32 @@
 	return _now - m_confirmed;
 }
 
-Standing Directory::standingOf(const KnownBackend& _known, Micros _now)
+ListingState Directory::listingStateOf(const KnownBackend& _known, Micros _now)
 {
 	if (_known.record.draining || _known.misdirected)
 	{
-		return Standing::Gone;
+		return ListingState::Gone;
 	}
 	if (_known.vanishedAt == kNever)
 	{
-		return Standing::Listed;
+		return ListingState::Listed;
 	}
 	if (_now < _known.lapsedUntil)
 	{
-		return Standing::Lapsed;
+		return ListingState::Lapsed;
 	}
-	return _now < _known.graceUntil ? Standing::Vanished : Standing::Gone;
+	return _now < _known.graceUntil ? ListingState::Vanished : ListingState::Gone;
 }
 
-Standing Directory::standing(const BackendIdentity& _backend, Micros _now) const
+ListingState Directory::listingState(const BackendIdentity& _backend, Micros _now) const
 {
 	const KnownBackend* known = find(_backend);
-	return known ? standingOf(*known, _now) : Standing::Gone;
+	return known ? listingStateOf(*known, _now) : ListingState::Gone;
 }
 
 bool Directory::takesWork(const BackendIdentity& _backend, Micros _now) const
 {
-	return standing(_backend, _now) != Standing::Gone;
+	return listingState(_backend, _now) != ListingState::Gone;
 }
 
 std::vector<const KnownBackend*> Directory::usableOf(const std::string& _service, Micros _now) const
@@ -273,12 +274,12 @@
 		{
 			continue;
 		}
-		const Standing standing = standingOf(known, _now);
-		if (standing == Standing::Listed || standing == Standing::Lapsed)
+		const ListingState listingState = listingStateOf(known, _now);
+		if (listingState == ListingState::Listed || listingState == ListingState::Lapsed)
 		{
 			usable.push_back(&known);
 		}
-		else if (standing == Standing::Vanished)
+		else if (listingState == ListingState::Vanished)
 		{
 			vanished.push_back(&known);
 		}
--- a/src/daemon/backendside.cpp
+++ b/src/daemon/backendadapter.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "daemon/backendside.h"
+#include "daemon/backendadapter.h"
 
 #include "beacongate/limits.h"
 #include "protocol/json.h"
@@ -15,14 +15,14 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kFirstServerError = 500;
 constexpr std::size_t kErrorBodyBytes = 64u << 10;
-/// Calls from this number on ask for load reports; attempts stay far below.
+/// Calls with this number or above request load reports; the numbers of attempts stay far below.
 constexpr std::uint64_t kFirstLoadCall = std::uint64_t{1} << 62;
 constexpr Micros kLoadTimeout = 1 * kSecond;
-/// A backend server says with this header that it has not taken the request.
-constexpr std::string_view kNotTaken = "Beacongate-Not-Taken";
+/// Header of a backend server's answer which says that it has not accepted the request.
+constexpr std::string_view kNotAcceptedHeader = "Beacongate-Not-Taken";
 } // namespace
 
-BackendSide::BackendSide(IoLoop& _loop, std::function<bool(Event)> _submit)
+BackendAdapter::BackendAdapter(IoLoop& _loop, std::function<bool(Event)> _submit)
 	: m_submit(std::move(_submit)),
 	  m_client(_loop,
 			   HttpClientHandlers{[this](std::uint64_t _id, unsigned _status)
@@ -43,26 +43,26 @@
 {
 }
 
-void BackendSide::apply(Action& _action, Micros _now)
+void BackendAdapter::apply(Action& _action, Micros _now)
 {
-	if (const StartAttempt* begin = std::get_if<StartAttempt>(&_action))
+	if (const StartAttempt* startAttempt = std::get_if<StartAttempt>(&_action))
 	{
-		start(*begin, _now);
+		start(*startAttempt, _now);
 		return;
 	}
-	if (const CancelAttempt* cancel = std::get_if<CancelAttempt>(&_action))
+	if (const CancelAttempt* cancelAttempt = std::get_if<CancelAttempt>(&_action))
 	{
-		m_attempts.erase(cancel->attempt);
-		m_client.cancel(cancel->attempt);
+		m_attempts.erase(cancelAttempt->attempt);
+		m_client.cancel(cancelAttempt->attempt);
 	}
 }
 
-void BackendSide::start(const StartAttempt& _start, Micros _now)
+void BackendAdapter::start(const StartAttempt& _start, Micros _now)
 {
 	const CallPayload& payload = *_start.payload;
 	Attempt attempt;
 	attempt.model = ServiceKind::Model == payload.kind;
-	attempt.next = nullptr == _start.delivered ? 0 : _start.delivered->size();
+	attempt.nextOffset = nullptr == _start.delivered ? 0 : _start.delivered->size();
 	HttpCall call;
 	call.id = _start.attempt;
 	call.address = _start.address;
@@ -85,7 +85,7 @@
 	m_client.start(std::move(call));
 }
 
-void BackendSide::onData(AttemptId _id, const std::string& _bytes)
+void BackendAdapter::onData(AttemptId _id, const std::string& _bytes)
 {
 	const auto it = m_attempts.find(_id);
 	if (m_attempts.end() == it)
@@ -109,11 +109,11 @@
 	}
 }
 
-void BackendSide::readEvents(AttemptId _id, Attempt& _attempt, const std::string& _bytes)
+void BackendAdapter::readEvents(AttemptId _id, Attempt& _attempt, const std::string& _bytes)
 {
 	AttemptTokens tokens;
 	tokens.attempt = _id;
-	tokens.offset = _attempt.next;
+	tokens.offset = _attempt.nextOffset;
 	bool ended = false;
 	for (const SseEvent& event : _attempt.reader.feed(_bytes))
 	{
@@ -123,14 +123,15 @@
 		{
 			continue;
 		}
-		const std::uint64_t offset = chunk.offset.value_or(_attempt.next);
+		const std::uint64_t offset = chunk.offset.value_or(_attempt.nextOffset);
 		if (offset != tokens.offset + tokens.tokens.size())
 		{
-			// Out of order: the core judges each run of tokens by its own offset.
+			// The chunk is out of order: tokens with consecutive offsets are submitted together, and the core
+			// checks the offset of each group.
 			submit(_id, std::exchange(tokens, AttemptTokens{_id, offset, {}}));
 		}
 		tokens.tokens.push_back(*chunk.token);
-		_attempt.next = offset + 1;
+		_attempt.nextOffset = offset + 1;
 	}
 	if (!tokens.tokens.empty())
 	{
@@ -138,8 +139,8 @@
 	}
 	if (ended && m_attempts.contains(_id))
 	{
-		// The connection is left to end by itself; nothing after the terminal event counts.
-		const std::uint64_t count = _attempt.next;
+		// Data after the terminal event is ignored; the connection is not closed here.
+		const std::uint64_t count = _attempt.nextOffset;
 		m_attempts.erase(_id);
 		if (!m_submit(AttemptDone{_id, kOk, {}, {}, count}))
 		{
@@ -148,7 +149,7 @@
 	}
 }
 
-void BackendSide::onEnd(AttemptId _id, HttpAnswer& _answer)
+void BackendAdapter::onEnd(AttemptId _id, HttpAnswer& _answer)
 {
 	if (_id >= kFirstLoadCall)
 	{
@@ -160,7 +161,7 @@
 	{
 		return;
 	}
-	if (!findHeader(_answer.headers, kNotTaken).empty())
+	if (!findHeader(_answer.headers, kNotAcceptedHeader).empty())
 	{
 		fail(_id, AttemptFault::Fenced);
 		return;
@@ -174,11 +175,11 @@
 		return;
 	}
 	const bool refused = kOk != attempt.status && attempt.status < kFirstServerError;
-	// A stream that ends without its terminal event is not an answer.
+	// A stream that ends without its terminal event is not a valid answer.
 	fail(_id, refused ? AttemptFault::Refused : AttemptFault::Broken, attempt.status, attempt.errorBody);
 }
 
-void BackendSide::onFail(AttemptId _id, HttpFault _fault)
+void BackendAdapter::onFail(AttemptId _id, HttpFault _fault)
 {
 	if (_id >= kFirstLoadCall)
 	{
@@ -188,36 +189,36 @@
 	fail(_id, HttpFault::NotSent == _fault ? AttemptFault::NotSent : AttemptFault::Broken);
 }
 
-void BackendSide::fail(AttemptId _id, AttemptFault _fault, unsigned _status, std::string _body)
+void BackendAdapter::fail(AttemptId _id, AttemptFault _fault, unsigned _status, std::string _body)
 {
 	m_attempts.erase(_id);
 	AttemptFailed failed{_id, _fault, _status, std::move(_body)};
 	if (!m_submit(failed))
 	{
-		m_unsent.push_back(std::move(failed));
+		m_unsubmitted.push_back(std::move(failed));
 	}
 }
 
-void BackendSide::submit(AttemptId _id, Event _event)
+void BackendAdapter::submit(AttemptId _id, Event _event)
 {
 	if (!m_attempts.contains(_id) || m_submit(std::move(_event)))
 	{
 		return;
 	}
-	// Nothing may be skipped: an attempt whose events do not fit in the ring has failed.
+	// No event of an attempt may be skipped, so an attempt whose event does not fit into the ring fails.
 	m_client.cancel(_id);
 	fail(_id, AttemptFault::Broken);
 }
 
-void BackendSide::retrySubmits()
+void BackendAdapter::retrySubmits()
 {
-	while (!m_unsent.empty() && m_submit(m_unsent.front()))
+	while (!m_unsubmitted.empty() && m_submit(m_unsubmitted.front()))
 	{
-		m_unsent.pop_front();
+		m_unsubmitted.pop_front();
 	}
 }
 
-void BackendSide::pollLoad(const std::vector<std::pair<std::string, Address>>& _backends)
+void BackendAdapter::pollLoad(const std::vector<std::pair<std::string, Address>>& _backends)
 {
 	for (const auto& [id, address] : _backends)
 	{
@@ -232,7 +233,7 @@
 	}
 }
 
-void BackendSide::onLoad(std::uint64_t _call, const HttpAnswer& _answer)
+void BackendAdapter::onLoad(std::uint64_t _call, const HttpAnswer& _answer)
 {
 	const auto node = m_loadCalls.extract(_call);
 	const Json json = Json::parse(_answer.body, nullptr, false);
@@ -250,7 +251,7 @@
 	}
 	catch (const Json::exception&)
 	{
-		return; // A report that makes no sense is as good as none.
+		return; // A malformed report is ignored.
 	}
 	m_submit(std::move(reported));
 }
--- a/src/daemon/callerside.cpp
+++ b/src/daemon/calleradapter.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "daemon/callerside.h"
+#include "daemon/calleradapter.h"
 
 #include "beacongate/limits.h"
 #include "protocol/statedump.h"
@@ -13,13 +13,14 @@
 {
 namespace
 {
-constexpr std::string_view kBearer = "Bearer ";
-constexpr std::string_view kServices = "/services/";
+constexpr std::string_view kBearerPrefix = "Bearer ";
+constexpr std::string_view kServicePrefix = "/services/";
 constexpr Failure kMalformed = Failure::MalformedRequest;
-constexpr int kMostPriority = 9;
+constexpr int kMaxPriority = 9;
 
-/// Reads a header that holds a number; an absent one is 0.
-std::uint64_t numberHeader(const HttpRequest& _request, std::string_view _name, std::uint64_t _most)
+/// Reads a header that holds a number; a missing header counts as 0.
+/// @throws Error MalformedRequest where the value is not a number or exceeds `_max`.
+std::uint64_t numberHeader(const HttpRequest& _request, std::string_view _name, std::uint64_t _max)
 {
 	const std::string_view text = findHeader(_request.headers, _name);
 	if (text.empty())
@@ -29,9 +30,9 @@
 	std::uint64_t value = 0;
 	const char* last = text.data() + text.size();
 	const auto [end, error] = std::from_chars(text.data(), last, value);
-	if (std::errc{} != error || last != end || value > _most)
+	if (std::errc{} != error || last != end || value > _max)
 	{
-		throw Error(kMalformed, std::string(_name) + ": has to be a number from 0 to " + std::to_string(_most));
+		throw Error(kMalformed, std::string(_name) + ": has to be a number from 0 to " + std::to_string(_max));
 	}
 	return value;
 }
@@ -39,11 +40,11 @@
 std::string readKey(const HttpRequest& _request)
 {
 	const std::string_view key = findHeader(_request.headers, "Idempotency-Key");
-	const auto printable = [](char _c)
+	const auto isPrintable = [](char _c)
 	{
 		return '!' <= _c && _c <= '~';
 	};
-	if (key.size() > limits::kKeyBytes || !std::all_of(key.begin(), key.end(), printable))
+	if (key.size() > limits::kKeyBytes || !std::all_of(key.begin(), key.end(), isPrintable))
 	{
 		throw Error(Failure::KeyInvalid,
 					"Idempotency-Key: has to be at most 128 printable characters without spaces");
@@ -54,41 +55,41 @@
 std::string readToken(const HttpRequest& _request)
 {
 	const std::string_view value = findHeader(_request.headers, "Authorization");
-	if (!value.starts_with(kBearer))
+	if (!value.starts_with(kBearerPrefix))
 	{
-		throw Error(Failure::UnknownToken, "Authorization: a bearer token is needed");
+		throw Error(Failure::UnknownToken, "Authorization: a bearer token is required");
 	}
-	return std::string(value.substr(kBearer.size()));
+	return std::string(value.substr(kBearerPrefix.size()));
 }
 
-/// Reads what model and plain requests share.
+/// Reads the headers that model requests and plain requests have in common.
 void readCommon(const HttpRequest& _request, CallerRequest& _event)
 {
-	constexpr std::uint64_t kMostMillis = limits::kMaxDeadline / kMillisecond;
+	constexpr std::uint64_t kMaxDeadlineMs = limits::kMaxDeadline / kMillisecond;
 	_event.token = readToken(_request);
 	_event.key = readKey(_request);
 	_event.deadline =
-		static_cast<Micros>(numberHeader(_request, "Beacongate-Deadline-Ms", kMostMillis)) * kMillisecond;
-	_event.priority = static_cast<int>(numberHeader(_request, "Beacongate-Priority", kMostPriority));
+		static_cast<Micros>(numberHeader(_request, "Beacongate-Deadline-Ms", kMaxDeadlineMs)) * kMillisecond;
+	_event.priority = static_cast<int>(numberHeader(_request, "Beacongate-Priority", kMaxPriority));
 	_event.issuedVersion = numberHeader(_request, "Beacongate-Issued-Version", ~0ull);
 }
 } // namespace
 
-CallerSide::CallerSide(EntryRef _self, const Facts& _facts, std::function<bool(Event)> _submit)
-	: m_self(std::move(_self)), m_facts(_facts), m_submit(std::move(_submit))
+CallerAdapter::CallerAdapter(EntryRef _self, const EntryStatus& _entryStatus, std::function<bool(Event)> _submit)
+	: m_self(std::move(_self)), m_entryStatus(_entryStatus), m_submit(std::move(_submit))
 {
 }
 
-void CallerSide::setServer(HttpServer& _server)
+void CallerAdapter::setServer(HttpServer& _server)
 {
 	m_server = &_server;
 }
 
-void CallerSide::onRequest(ExchangeId _exchange, HttpRequest&& _request)
+void CallerAdapter::onRequest(ExchangeId _exchange, HttpRequest&& _request)
 {
 	if ("GET" == _request.method && "/health" == _request.target)
 	{
-		const bool healthy = m_facts.healthy;
+		const bool healthy = m_entryStatus.healthy;
 		m_server->send(_exchange, HttpAnswer{healthy ? 200u : 503u, {}, healthy ? "ok\n" : "stopping\n"});
 		return;
 	}
@@ -102,7 +103,7 @@
 			const bool chat = "/v1/chat/completions" == _request.target;
 			event = readModel(chat ? OpenAiEndpoint::Chat : OpenAiEndpoint::Completions, _request, exchange);
 		}
-		else if (_request.target.starts_with(kServices))
+		else if (_request.target.starts_with(kServicePrefix))
 		{
 			event = readPlain(_request);
 		}
@@ -114,7 +115,7 @@
 		m_exchanges[_exchange] = std::move(exchange);
 		if (!m_submit(std::move(event)))
 		{
-			throw Error(Failure::Overloaded, "this entry has too much to do");
+			throw Error(Failure::Overloaded, "this entry is overloaded");
 		}
 	}
 	catch (const Error& error)
@@ -125,8 +126,8 @@
 	}
 }
 
-CallerRequest CallerSide::readModel(OpenAiEndpoint _endpoint, const HttpRequest& _request,
-									Exchange& _exchange) const
+CallerRequest CallerAdapter::readModel(OpenAiEndpoint _endpoint, const HttpRequest& _request,
+									   Exchange& _exchange) const
 {
 	if ("POST" != _request.method)
 	{
@@ -147,9 +148,9 @@
 	return event;
 }
 
-CallerRequest CallerSide::readPlain(const HttpRequest& _request) const
+CallerRequest CallerAdapter::readPlain(const HttpRequest& _request) const
 {
-	const std::string rest = _request.target.substr(kServices.size());
+	const std::string rest = _request.target.substr(kServicePrefix.size());
 	const std::size_t slash = std::min(rest.find('/'), rest.size());
 	CallerRequest event;
 	readCommon(_request, event);
@@ -164,21 +165,21 @@
 	return event;
 }
 
-void CallerSide::onGone(ExchangeId _exchange)
+void CallerAdapter::onDisconnected(ExchangeId _exchange)
 {
 	if (0 != m_exchanges.erase(_exchange))
 	{
-		// A full ring loses this event; the request then runs on until it ends by itself.
+		// If the ring is full, the event is lost and the request runs until it completes.
 		m_submit(CallerGone{_exchange});
 	}
 }
 
-HttpAnswer CallerSide::onMalformed(Failure _failure, const std::string& _detail) const
+HttpAnswer CallerAdapter::onMalformed(Failure _failure, const std::string& _detail) const
 {
 	return failureAnswer(_failure, Outcome::NotRun, _detail, 0, m_self.id);
 }
 
-void CallerSide::apply(Action& _action)
+void CallerAdapter::apply(Action& _action)
 {
 	std::visit(
 		[this](auto& _item)
@@ -191,12 +192,13 @@
 		_action);
 }
 
-HttpHeaders CallerSide::commonHeaders(const std::string& _name) const
+HttpHeaders CallerAdapter::commonHeaders(const std::string& _name) const
 {
-	return {{"Beacongate-Request-Id", _name}, {"Beacongate-Roster-Version", std::to_string(m_facts.rosterVersion)}};
+	return {{"Beacongate-Request-Id", _name},
+			{"Beacongate-Roster-Version", std::to_string(m_entryStatus.rosterVersion)}};
 }
 
-void CallerSide::startStream(ExchangeId _id, Exchange& _exchange)
+void CallerAdapter::startStream(ExchangeId _id, Exchange& _exchange)
 {
 	if (_exchange.started)
 	{
@@ -210,7 +212,7 @@
 	m_server->startStream(_id, 200, std::move(headers));
 }
 
-void CallerSide::on(AnswerTokens& _action)
+void CallerAdapter::on(AnswerTokens& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	if (m_exchanges.end() == it)
@@ -238,7 +240,7 @@
 	m_server->sendChunk(_action.exchange, std::move(events));
 }
 
-void CallerSide::on(AnswerEnd& _action)
+void CallerAdapter::on(AnswerEnd& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	if (m_exchanges.end() == it)
@@ -261,12 +263,12 @@
 	answer.headers = commonHeaders(name);
 	answer.headers.push_back(outcome.front());
 	answer.headers.emplace_back("Content-Type", "application/json");
-	answer.body = wholeAnswer(exchange.endpoint, exchange.modelName, name, exchange.text, _action.promptTokens,
-							  _action.completionTokens);
+	answer.body = completionBody(exchange.endpoint, exchange.modelName, name, exchange.text, _action.promptTokens,
+								 _action.completionTokens);
 	m_server->send(_action.exchange, std::move(answer));
 }
 
-void CallerSide::on(AnswerWhole& _action)
+void CallerAdapter::on(AnswerWhole& _action)
 {
 	m_exchanges.erase(_action.exchange);
 	HttpAnswer answer;
@@ -281,7 +283,7 @@
 	m_server->send(_action.exchange, std::move(answer));
 }
 
-void CallerSide::on(AnswerMoved& _action)
+void CallerAdapter::on(AnswerMoved& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	if (m_exchanges.end() == it)
@@ -291,12 +293,12 @@
 	const bool started = it->second.started;
 	m_exchanges.erase(it);
 	const std::string name = requestName(m_self, _action.exchange);
-	Json body = problem(Failure::Moved, "another entry goes on with it; send it again with this key", name);
+	Json body = problem(Failure::Moved, "another entry continues this request; repeat it with this key", name);
 	body["key"] = _action.key;
 	body["offset"] = _action.offset;
 	if (started)
 	{
-		// No terminal event and no outcome: the answer goes on elsewhere.
+		// There is neither a terminal event nor an outcome, because another entry continues the answer.
 		m_server->sendChunk(_action.exchange, errorEvent(body));
 		m_server->endStream(_action.exchange, {});
 		return;
@@ -311,7 +313,7 @@
 	m_server->send(_action.exchange, std::move(answer));
 }
 
-void CallerSide::on(AnswerFailure& _action)
+void CallerAdapter::on(AnswerFailure& _action)
 {
 	const auto it = m_exchanges.find(_action.exchange);
 	const bool started = m_exchanges.end() != it && it->second.started;
@@ -329,8 +331,8 @@
 	m_server->endStream(_action.exchange, {{"Beacongate-Outcome", std::string(toString(_action.outcome))}});
 }
 
-HttpAnswer CallerSide::failureAnswer(Failure _failure, Outcome _outcome, const std::string& _detail,
-									 Micros _retryAfter, const std::string& _name) const
+HttpAnswer CallerAdapter::failureAnswer(Failure _failure, Outcome _outcome, const std::string& _detail,
+										Micros _retryAfter, const std::string& _name) const
 {
 	HttpAnswer answer;
 	answer.status = failureInfo(_failure).status;
--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -70,18 +70,18 @@
 void BackendListSync::check()
 {
 	const Micros now = monotonicNow();
-	m_context.storeContact.onHeldUp(std::max<Micros>(0, now - m_due), now);
+	m_context.storeContact.onProcessStalled(std::max<Micros>(0, now - m_due), now);
 	if (m_context.directory.revision() == 0)
 	{
 		schedule(kStartCheckInterval);
 		return;
 	}
 	const Micros age = m_context.directory.listAge(now);
-	if (age < m_budget.readFrom)
+	if (age < m_budget.listReadAge)
 	{
 		onListFresh(age);
 	}
-	else if (m_context.storeContact.outOfReach(now))
+	else if (m_context.storeContact.isUnreachable(now))
 	{
 		waitWhileUnreachable(now);
 	}
@@ -94,9 +94,9 @@
 void BackendListSync::onListFresh(Micros _age)
 {
 	onStoreReachable(_age);
-	m_context.storeContact.onNotNeeded();
+	m_context.storeContact.resetFindings();
 	m_pace.onAnswered();
-	schedule(std::max(kCheckInterval, m_budget.readFrom - _age));
+	schedule(std::max(kCheckInterval, m_budget.listReadAge - _age));
 }
 
 void BackendListSync::onStoreReachable(Micros _age)
@@ -119,13 +119,13 @@
 
 void BackendListSync::waitWhileUnreachable(Micros _now)
 {
-	const StoreContact& contact = m_context.storeContact;
-	m_context.directory.onStoreLost(_now);
+	const StoreReachability& contact = m_context.storeContact;
+	m_context.directory.onStoreUnreachable(_now);
 	if (!m_storeUnreachable)
 	{
 		m_storeUnreachable = true;
 		logEvent(LogLevel::Warning, "store-out-of-reach",
-				 {{"cause", contact.turnedAway() ? "turned-away" : "silent"},
+				 {{"cause", contact.rejectsReads() ? "turned-away" : "silent"},
 				  {"silent_ms", millisText(contact.silence(_now))},
 				  {"list_age_ms", millisText(m_context.directory.listAge(_now))}});
 		// The connections of these reads may be dead, and would keep later reads from starting.
@@ -163,14 +163,14 @@
 
 void BackendListSync::startProbe(Micros _now)
 {
-	m_pace.onBegun(_now);
+	m_pace.onReadStarted(_now);
 	m_probing = true;
 	if (!m_probe)
 	{
 		m_probe = std::make_shared<RangeReader>(m_context.loop, m_context.storeContact, m_context.settings.store,
 												std::string(kHolderKey), kReadTimeout);
 	}
-	m_probe->read(m_budget.listLife,
+	m_probe->read(m_budget.maxListAge,
 				  [self = shared_from_this()](const std::optional<StoreContent>& _content)
 				  {
 					  self->m_probing = false;
@@ -183,7 +183,7 @@
 
 void BackendListSync::startRead(Micros _now)
 {
-	m_pace.onBegun(_now);
+	m_pace.onReadStarted(_now);
 	ReaderPtr reader = std::exchange(m_idleReader, nullptr);
 	if (!reader)
 	{
@@ -192,7 +192,7 @@
 	}
 	m_reads.push_back(reader);
 	// A slower answer would deliver a list that is too old to send requests by.
-	reader->read(m_budget.listLife,
+	reader->read(m_budget.maxListAge,
 				 [self = shared_from_this(), weak = std::weak_ptr<RangeReader>(reader)](
 					 std::optional<StoreContent> _content) { self->onList(weak.lock(), std::move(_content)); });
 }
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -411,7 +411,7 @@
 				  {"count", std::to_string(order.count)},
 				  {"work", std::to_string(m_context.demand.work(_service.name))},
 				  {"occupied", std::to_string(m_context.demand.occupied(_service.name))},
-				  {"wished", std::to_string(need.wished)},
+				  {"wished", std::to_string(need.desired)},
 				  {"required", std::to_string(need.required)},
 				  {"standing", std::to_string(servers)},
 				  {"fence", std::to_string(m_lease.fence())}});
@@ -427,8 +427,8 @@
 	CapacityPlanner::Observation observation;
 	observation.work = work;
 	// A gateway that does not hear most of the fleet does not know the load, and keeps the current capacity.
-	const FleetWord& word = m_context.quotas.word();
-	const bool hearsMost = word.trust(_now) == FleetTrust::Whole && word.silentShare(_now) < kMaxSilentShare;
+	const FleetLiveness& word = m_context.quotas.word();
+	const bool hearsMost = word.contact(_now) == FleetContact::Whole && word.silentShare(_now) < kMaxSilentShare;
 	observation.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	observation.firstStart = m_context.settings.firstStart;
 	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _servers);
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -203,13 +203,13 @@
 	};
 	const QuotaVerdict verdict =
 		m_context.admission.take(m_quotaTicket, m_team->name, amount, monotonicNow(), decided);
-	if (verdict.bound == QuotaBound::Unproved)
+	if (verdict.reason == QuotaRefusalReason::Pending)
 	{
 		return false;
 	}
 	if (!verdict.passes())
 	{
-		refuse(Failure::QuotaExceeded, "over the team's quota: " + std::string(toString(verdict.bound)),
+		refuse(Failure::QuotaExceeded, "over the team's quota: " + std::string(toString(verdict.reason)),
 			   verdict.wait);
 		return false;
 	}
@@ -253,7 +253,7 @@
 	{
 		return;
 	}
-	m_context.demand.onArrival(m_service, m_context.engines.readingSeconds(m_service, m_placement.promptTokens),
+	m_context.demand.onArrival(m_service, m_context.engines.prefillSeconds(m_service, m_placement.promptTokens),
 							   m_context.streamLengths.holdSeconds(m_service, m_route->name),
 							   service->engine->slots);
 }
@@ -312,21 +312,21 @@
 	return m_context.backoffs.available(m_context.directory.usableOf(m_service, _now), m_triedBackends, _now);
 }
 
-RoomContext Exchange::roomContext(Micros _now) const
+OverloadContext Exchange::roomContext(Micros _now) const
 {
 	return {_now, m_request.received + m_route->targetLatency, m_deadline, m_sendCount > 0, m_mayHaveRun};
 }
 
 bool Exchange::refuseWithoutRoom(const Availability& _available, Micros _now)
 {
-	const RoomDecision decision = decideWithoutRoom(roomContext(_now), _available);
-	if (decision == RoomDecision::Wait)
+	const OverloadDecision decision = decideOnOverload(roomContext(_now), _available);
+	if (decision == OverloadDecision::Wait)
 	{
 		return false;
 	}
 	refuse(Failure::NoBackend,
-		   decision == RoomDecision::RefuseLate ? "no backend server has room"
-												: "all backend servers asked for a backoff",
+		   decision == OverloadDecision::RefuseLate ? "no backend server has room"
+													: "all backend servers asked for a backoff",
 		   retryAfter(_now));
 	return true;
 }
@@ -386,8 +386,8 @@
 		}
 		else
 		{
-			self->m_context.retryBudget.onRepeat(self->m_service, monotonicNow());
-			self->chargeRetry();
+			self->m_context.retryBudget.onRetry(self->m_service, monotonicNow());
+			self->chargeRepeat();
 		}
 		++self->m_sendCount;
 	};
@@ -414,9 +414,9 @@
 {
 	const Micros now = monotonicNow();
 	m_attempt.listAge = m_context.directory.listAge(now);
-	m_attempt.standing = m_context.directory.standing(m_attempt.backend, now);
+	m_attempt.listingState = m_context.directory.listingState(m_attempt.backend, now);
 	m_attempt.backoffLeft = m_context.backoffs.left(m_attempt.key, now);
-	m_context.metrics.onSent(m_service, m_attempt.listAge, m_attempt.standing);
+	m_context.metrics.onSent(m_service, m_attempt.listAge, m_attempt.listingState);
 	m_context.metrics.onSentInBackoff(m_attempt.backoffLeft > 0);
 }
 
@@ -478,7 +478,7 @@
 	}
 	if (m_team && m_quotaTaken > 0.0 && !m_mayHaveRun && m_sendCount == 0)
 	{
-		m_context.admission.giveBack(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
+		m_context.admission.refund(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
 	}
 	m_session->answer(
 		makeErrorAnswer(_status, _failure, _detail, _retryAfter, platform::errorAnswerHeaders(m_info.id)));
@@ -545,8 +545,8 @@
 			  {"ms", millisText(now - m_request.received)},
 			  {"config", m_config ? std::to_string(m_config->version) : "-"},
 			  {"config_age_ms", millisText(m_context.directory.age(now))},
-			  {"list_age_ms", m_sendCount == 0 ? "-" : millisText(m_attempt.listAge)},
-			  {"standing", m_sendCount == 0 ? "-" : std::string(toString(m_attempt.standing))},
+			  {"list_age_ms", m_sent == 0 ? "-" : millisText(m_attempt.listAge)},
+			  {"standing", m_sent == 0 ? "-" : std::string(toString(m_attempt.listingState))},
 			  {"backoff_left_ms", millisText(m_attempt.backoffLeft)}});
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -137,7 +137,7 @@
 void Gateway::onCallerRequest(const ServerSessionPtr& _session, IncomingRequest&& _request)
 {
 	const Micros elapsed = m_context.stopping ? monotonicNow() - m_context.stopRequested : 0;
-	if (m_context.stopping && !StopPolicy(m_context.settings.grace).takesRequests(elapsed))
+	if (m_context.stopping && !StopPolicy(m_context.settings.grace).acceptsRequests(elapsed))
 	{
 		_session->answer(makeErrorAnswer(503, Failure::Stopping, "this gateway is stopping", kStopRetryAfter),
 						 true);
@@ -226,10 +226,11 @@
 	metrics.setGauge("beacongate_backend_records_refused",
 					 static_cast<double>(m_context.backendRecords.refusals()));
 	metrics.setGauge("beacongate_members", static_cast<double>(m_context.peers.memberCount(now)));
-	metrics.setGauge("beacongate_gateways_heard", static_cast<double>(m_context.quotas.word().gatewaysHeard(now)));
-	const Micros wordAge = m_context.quotas.word().age(now);
+	metrics.setGauge("beacongate_gateways_heard",
+					 static_cast<double>(m_context.quotas.liveness().gatewaysHeard(now)));
+	const Micros wordAge = m_context.quotas.liveness().age(now);
 	metrics.setGauge("beacongate_quota_word_age_seconds", wordAge == kNever ? -1.0 : secondsOf(wordAge));
-	const QuotaAskCounts& asks = m_context.admission.counts();
+	const QuotaGrantCounts& asks = m_context.admission.counts();
 	metrics.setGauge("beacongate_quota_asks_granted", static_cast<double>(asks.granted));
 	metrics.setGauge("beacongate_quota_asks_refused", static_cast<double>(asks.refused));
 	metrics.setGauge("beacongate_quota_asks_unable", static_cast<double>(asks.unable));
@@ -301,7 +302,7 @@
 	const Micros elapsed = monotonicNow() - m_context.stopRequested;
 	const StopPolicy policy(m_context.settings.grace);
 	const bool closesIdle = policy.closesIdle(elapsed);
-	const bool mustEnd = policy.mustEnd(elapsed);
+	const bool mustAbort = policy.mustAbort(elapsed);
 	if (closesIdle)
 	{
 		m_callerListener->close();
@@ -311,7 +312,7 @@
 			session->closeIfIdle();
 		}
 	}
-	if (mustEnd || (closesIdle && m_callerContext->sessions.empty()))
+	if (mustAbort || (closesIdle && m_callerContext->sessions.empty()))
 	{
 		shutdown();
 		return;
--- a/src/gateway/gatewaycontext.h
+++ b/src/gateway/gatewaycontext.h
@@ -23,7 +23,7 @@
 #include "coordination/readershare.h"
 #include "coordination/relaychoice.h"
 #include "coordination/sharedretrybudget.h"
-#include "coordination/storecontact.h"
+#include "coordination/storereachability.h"
 #include "coordination/streamlengths.h"
 #include "coordination/usageledger.h"
 #include "daemon/clock.h"
@@ -46,7 +46,7 @@
 {
 	explicit GatewayContext(GatewaySettings _configured)
 		: settings(std::move(_configured)), run{settings.name, newIncarnation()},
-		  storeContact(DrainBudget(settings.drainSpan).patience),
+		  storeContact(DrainBudget(settings.drainSpan).storeTimeout),
 		  balancer(settings.dataCentre, static_cast<std::uint32_t>(run.incarnation)), grantor(quotas),
 		  admission(quotas, grantor, settings.callers.host, run.incarnation), peers(settings.callers.host),
 		  relays({settings.callers.host, settings.dataCentre, settings.cpuPercent}), usage(run),
@@ -95,7 +95,7 @@
 	Micros relayAnswered = kLongAgo;      ///< When a relay last answered.
 	ContentHistory history;
 	BackendRecords backendRecords;
-	StoreContact storeContact;
+	StoreReachability storeContact;
 	Balancer balancer;
 	BackoffTable backoffs;
 	QuotaLedger quotas;
--- a/src/gateway/gatewaymetrics.cpp
+++ b/src/gateway/gatewaymetrics.cpp
@@ -124,7 +124,7 @@
 	record(m_queueTimes, _service, _waited);
 }
 
-void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, Standing _standing)
+void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, ListingState _standing)
 {
 	++m_sends[_standing];
 	record(m_listAges, _service, _listAge);
@@ -168,7 +168,7 @@
 	formatCounter(out, "beacongate_sends_in_backoff_total", m_sentInBackoff);
 	formatCounter(out, "beacongate_datagrams_unreadable_total", m_datagramsUnreadable);
 	out << "# TYPE beacongate_sends_total counter\n";
-	for (const auto& [standing, count] : m_sends)
+	for (const auto& [listingState, count] : m_sends)
 	{
 		out << "beacongate_sends_total{standing=" << quoteLabel(toString(standing)) << "} " << count << '\n';
 	}
--- a/src/gateway/gatewaymetrics.h
+++ b/src/gateway/gatewaymetrics.h
@@ -127,7 +127,7 @@
 	Latencies m_queueTimes;
 	Latencies m_listAges;
 	Latencies m_loopDelays;
-	std::map<Standing, std::uint64_t> m_sends;
+	std::map<ListingState, std::uint64_t> m_sends;
 };
 
 } // namespace beacongate
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -143,11 +143,11 @@
 	const std::size_t members = m_context.peers.memberCount(now);
 	m_context.quotas.setMembers(members);
 	m_context.quotas.advance(now);
-	m_context.admission.setGrantors(m_context.relays.allHeads());
+	m_context.admission.setGrantors(m_context.relays.allTopMembers());
 	logGrantorNotices();
 	m_context.retryBudget.setMembers(members);
-	m_context.balancer.setPeerLoadLife(
-		std::max(kSecond, kPeerLoadLifetimeFactor * GossipPlan::hearingSpan(members)));
+	m_context.balancer.setPeerLoadLifetime(
+		std::max(kSecond, kPeerLoadLifetimeFactor * GossipPlan::propagationDelay(members)));
 	m_context.balancer.setManyGateways(m_context.usesCollectors());
 	m_context.balancer.expirePeerLoads(now);
 	if (m_context.usesCollectors())
@@ -159,7 +159,7 @@
 		sendToPeers(now);
 	}
 	++m_round;
-	const Micros pause = m_context.jittered(GossipPlan::roundSpan(members));
+	const Micros pause = m_context.jittered(GossipPlan::roundInterval(members));
 	m_due = now + pause;
 	m_timer.expires_after(std::chrono::microseconds(pause));
 	m_timer.async_wait(
@@ -174,11 +174,11 @@
 
 void Gossiper::logLeavingNotices()
 {
-	for (const LeavingNotice& notice : m_context.directory.takeLeavingNotices())
+	for (const DepartureNotice& notice : m_context.directory.takeDepartureNotices())
 	{
 		logEvent(LogLevel::Info, "backend-leaving",
 				 {{"backend", notice.backend.id},
-				  {"sign", std::string(toString(notice.sign))},
+				  {"sign", std::string(toString(notice.source))},
 				  {"revision", std::to_string(m_context.directory.revision())},
 				  {"list_age_ms", millisText(m_context.directory.listAge(monotonicNow()))},
 				  {"in_flight", std::to_string(m_context.balancer.totalInFlight(BackendKey(notice.backend)))}});
@@ -194,7 +194,7 @@
 				  {"gap_ms", millisText(gap.gap)},
 				  {"taken", std::to_string(static_cast<std::int64_t>(gap.taken))},
 				  {"level", std::to_string(static_cast<std::int64_t>(gap.levelBefore))},
-				  {"heard", std::to_string(m_context.quotas.word().gatewaysHeard(monotonicNow()))}});
+				  {"heard", std::to_string(m_context.quotas.liveness().gatewaysHeard(monotonicNow()))}});
 	}
 }
 
@@ -208,9 +208,9 @@
 	for (const QuotaTally& tally : m_context.quotas.takeTallies(_now))
 	{
 		std::string refused;
-		for (const auto& [bound, count] : tally.refused)
+		for (const auto& [reason, count] : tally.refused)
 		{
-			refused += (refused.empty() ? "" : ",") + std::string(toString(bound)) + ':' + std::to_string(count);
+			refused += (refused.empty() ? "" : ",") + std::string(toString(reason)) + ':' + std::to_string(count);
 		}
 		logEvent(LogLevel::Info, "quota-refused",
 				 {{"team", tally.team},
@@ -269,11 +269,11 @@
 	const std::vector<std::string> targets =
 		GossipPlan::targets(std::move(known), holder, limits::kGossipPeers, m_context.random);
 	GossipMessage report = makeReport(_now);
-	report.members = m_context.peers.heardHosts(_now);
+	report.members = m_context.peers.liveHosts(_now);
 	for (const std::string& host : targets)
 	{
 		GossipMessage message = report;
-		const GossipParts parts = GossipPlan::partsFor(host, holder, crowded, m_round);
+		const GossipSections parts = GossipPlan::sectionsFor(host, holder, crowded, m_round);
 		if (!parts.usage)
 		{
 			message.usage.clear();
@@ -290,14 +290,14 @@
 
 std::vector<QuotaLevel> Gossiper::levelsFor(const std::string& _host, Micros _now) const
 {
-	const bool young = m_context.peers.isYoung(_host, QuotaLedger::kSettling);
-	return young ? m_context.quotas.levelsToTell(_now) : std::vector<QuotaLevel>();
+	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kStartupSpan);
+	return young ? m_context.quotas.levelsToReport(_now) : std::vector<QuotaLevel>();
 }
 
 bool Gossiper::isCollector() const
 {
-	const auto heads = m_context.relays.heads(m_context.settings.dataCentre, RelayChoice::kHeads);
-	return std::find(heads.begin(), heads.end(), m_context.settings.callers.host) != heads.end();
+	const auto topMembers = m_context.relays.topMembers(m_context.settings.dataCentre, RelayChoice::kTopMembers);
+	return std::find(topMembers.begin(), topMembers.end(), m_context.settings.callers.host) != topMembers.end();
 }
 
 bool Gossiper::mustListAllTeams(const std::vector<std::string>& _collectors)
@@ -343,44 +343,44 @@
 	m_table.expire(_now);
 	watchCollectors(_now);
 	const std::string& dataCentre = m_context.settings.dataCentre;
-	const auto heads = m_context.relays.heads(dataCentre, RelayChoice::kHeads);
+	const auto topMembers = m_context.relays.topMembers(dataCentre, RelayChoice::kTopMembers);
 	const bool collector = isCollector();
 	GossipMessage report = makeReport(_now);
-	m_follower.onReported(_now, ownSums());
+	m_follower.onReportSent(_now, ownSums());
 	if (collector)
 	{
 		m_table.onReport(report, _now);
 	}
-	const bool full = mustListAllTeams(heads);
-	m_collectors = heads;
+	const bool full = mustListAllTeams(topMembers);
+	m_collectors = topMembers;
 	omitUnchangedQuotas(report, full);
 	const std::uint64_t window = m_context.currentWindow(_now);
 	const std::uint64_t windowsBack = full ? kUsageWindowsBack : m_round % kRepeatRounds == 0 ? 1 : 0;
 	report.usage = m_context.usage.ownCounts(window - std::min(window, windowsBack));
-	for (const std::string& host : heads)
+	for (const std::string& host : topMembers)
 	{
 		if (host == m_context.settings.callers.host)
 		{
 			continue;
 		}
-		report.wantsSums = !collector && host == heads.front();
+		report.wantsSums = !collector && host == topMembers.front();
 		report.echo = m_context.peers.echoFor(host);
 		send(report, host);
 		if (collector || report.wantsSums)
 		{
-			m_watch.onAsked(host, _now);
+			m_watch.onContacted(host, _now);
 		}
 	}
 	if (m_round % kRoundsPerSilentProbe == 0)
 	{
 		report.wantsSums = false;
-		for (const std::string& host : m_context.relays.silentHeads(dataCentre))
+		for (const std::string& host : m_context.relays.silentTopMembers(dataCentre))
 		{
 			report.echo = m_context.peers.echoFor(host);
 			send(report, host);
 		}
 	}
-	if (collector && heads.front() == m_context.settings.callers.host)
+	if (collector && topMembers.front() == m_context.settings.callers.host)
 	{
 		sendCentreSums(_now);
 	}
@@ -403,17 +403,17 @@
 void Gossiper::sendCentreSums(Micros _now)
 {
 	GossipMessage message = makeMessage(_now);
-	FleetSums sums = m_table.centreSums();
-	message.kind = GossipKind::CentreSums;
+	FleetSums sums = m_table.dataCentreSums();
+	message.kind = GossipKind::DataCentreSums;
 	message.wallClock = m_context.clock.trueTime(_now);
 	message.gateways = sums.gateways;
 	message.quotas = std::move(sums.quotas);
 	message.demand = std::move(sums.demand);
 	message.loads = std::move(sums.loads);
 	const std::uint64_t window = m_context.currentWindow(_now);
-	message.centreUsage = m_context.usage.centreCounts(
+	message.dataCentreUsage = m_context.usage.dataCentreCounts(
 		m_context.settings.dataCentre, window - std::min<std::uint64_t>(window, 2), m_context.settings.usageWindow);
-	for (const auto& [run, count] : message.centreUsage)
+	for (const auto& [run, count] : message.dataCentreUsage)
 	{
 		m_context.usage.onReport(run, count);
 	}
@@ -424,16 +424,16 @@
 		{
 			continue;
 		}
-		const auto heads = m_context.relays.heads(dataCentre, RelayChoice::kHeads);
-		targets.insert(heads.begin(), heads.end());
-		for (const std::string& host : heads)
+		const auto topMembers = m_context.relays.topMembers(dataCentre, RelayChoice::kTopMembers);
+		targets.insert(topMembers.begin(), topMembers.end());
+		for (const std::string& host : topMembers)
 		{
-			m_watch.onAsked(host, _now);
+			m_watch.onContacted(host, _now);
 			m_collectors.push_back(host);
 		}
 		if (m_round % kRoundsPerSilentProbe == 0)
 		{
-			const auto silent = m_context.relays.silentHeads(dataCentre);
+			const auto silent = m_context.relays.silentTopMembers(dataCentre);
 			targets.insert(silent.begin(), silent.end());
 		}
 	}
--- a/src/gateway/gossiper.h
+++ b/src/gateway/gossiper.h
@@ -7,7 +7,7 @@
 #ifndef BEACONGATE_GATEWAY_GOSSIPER_H
 #define BEACONGATE_GATEWAY_GOSSIPER_H
 
-#include "coordination/collectorwatch.h"
+#include "coordination/collectormonitor.h"
 #include "coordination/fleetfollower.h"
 #include "coordination/fleettable.h"
 #include "gateway/gatewaycontext.h"
@@ -60,7 +60,7 @@
 	/// Counts a datagram of an unknown format, and logs some of them.
 	void onUnreadable(const std::string& _sender);
 	void onReport(const GossipMessage& _message, bool _fresh, Micros _now);
-	void onCentreSums(const GossipMessage& _message, Micros _now);
+	void onDataCentreSums(const GossipMessage& _message, Micros _now);
 	void onFleetSums(const GossipMessage& _message, Micros _now);
 	void answerWithEcho(const std::string& _host, Micros _now);
 	void answerWithSums(const std::string& _host, Micros _now);
@@ -106,7 +106,7 @@
 	/// teams.
 	std::map<std::string, std::uint64_t> m_collectorIncarnations;
 	std::size_t m_listAllTeamsUntil = 0;
-	CollectorWatch m_watch;
+	CollectorMonitor m_watch;
 	std::uint64_t m_unreadableCount = 0; ///< Datagrams of an unknown format since the start.
 };
 
--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kTooManyRequests = 429; ///< All gateways together call too often; the store itself is healthy.
 } // namespace
 
-RangeReader::RangeReader(boost::asio::io_context& _loop, StoreContact& _contact, const Address& _store,
+RangeReader::RangeReader(boost::asio::io_context& _loop, StoreReachability& _contact, const Address& _store,
 						 std::string _prefix, Micros _pageTimeout)
 	: m_contact(_contact), m_channel(std::make_shared<HttpChannel>(_loop, _store, limits::kSnapshotBytes)),
 	  m_prefix(std::move(_prefix)), m_pageTimeout(_pageTimeout)
@@ -39,7 +39,7 @@
 	m_channel->close();
 	if (m_requestedAt != kNever)
 	{
-		m_contact.onGivenUp(std::exchange(m_requestedAt, kNever), monotonicNow());
+		m_contact.onReadAbandoned(std::exchange(m_requestedAt, kNever), monotonicNow());
 	}
 	m_handler = nullptr;
 }
@@ -80,7 +80,8 @@
 	{
 		const ChannelFault answered = busy ? ChannelFault::Busy : ChannelFault::TurnedAway;
 		m_fault = _answer ? answered : m_channel->fault();
-		m_fault == ChannelFault::TurnedAway ? m_contact.onTurnedAway(asked, now) : m_contact.onGivenUp(asked, now);
+		m_fault == ChannelFault::TurnedAway ? m_contact.onReadRejected(asked, now)
+											: m_contact.onReadAbandoned(asked, now);
 	}
 	onPage(page);
 }
--- a/src/gateway/rangereader.h
+++ b/src/gateway/rangereader.h
@@ -8,7 +8,7 @@
 #define BEACONGATE_GATEWAY_RANGEREADER_H
 
 #include "coordination/kvtypes.h"
-#include "coordination/storecontact.h"
+#include "coordination/storereachability.h"
 #include "transport/httpchannel.h"
 
 #include <boost/asio/io_context.hpp>
@@ -30,8 +30,8 @@
 	using Handler = std::function<void(std::optional<StoreContent>)>;
 
 	/// @param[in] _pageTimeout A page that is not complete after this span has failed.
-	RangeReader(boost::asio::io_context& _loop, StoreContact& _contact, const Address& _store, std::string _prefix,
-				Micros _pageTimeout);
+	RangeReader(boost::asio::io_context& _loop, StoreReachability& _contact, const Address& _store,
+				std::string _prefix, Micros _pageTimeout);
 
 	/// Starts a read. No other read may be running.
 	/// @param[in] _idleTimeout A page that receives no bytes for this long has failed.
@@ -58,7 +58,7 @@
 	void onAnswer(const std::optional<HttpAnswer>& _answer);
 	void onPage(const std::optional<KvPage>& _page);
 
-	StoreContact& m_contact;
+	StoreReachability& m_contact;
 	std::shared_ptr<HttpChannel> m_channel;
 	std::string m_prefix;
 	Micros m_idleTimeout = 0;
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -295,7 +295,7 @@
 	if (_revision == m_context.content.revision)
 	{
 		m_context.content.confirmed = std::max(m_context.content.confirmed, _confirmed);
-		m_context.directory.onUnchanged(_confirmed);
+		m_context.directory.confirmList(_confirmed);
 	}
 }
 
@@ -309,7 +309,7 @@
 		scheduleRead(kRetryMin);
 		return;
 	}
-	m_reader->read(m_context.storeContact.readSilence(kReadIdleTimeout),
+	m_reader->read(m_context.storeContact.readTimeout(kReadIdleTimeout),
 				   [self = shared_from_this()](std::optional<StoreContent> _content)
 				   { self->onRead(std::move(_content)); });
 }
@@ -447,7 +447,7 @@
 		}
 	}
 	m_context.relays.setMembers(members);
-	m_context.relays.setHolder(holderHost(_content));
+	m_context.relays.setDutyHolder(holderHost(_content));
 	if (_content.revision < m_context.directory.revision())
 	{
 		m_context.directory.apply(snapshot, now);
@@ -498,7 +498,7 @@
 		}
 		m_context.content.confirmed = std::max(m_context.content.confirmed, _confirmed);
 		m_context.directory.confirm(_confirmed);
-		m_context.directory.onUnchanged(_confirmed);
+		m_context.directory.confirmList(_confirmed);
 		return;
 	}
 	if (_confirmed > m_context.content.confirmed)
@@ -511,7 +511,7 @@
 {
 	try
 	{
-		m_context.quotas.setKeptLevels(decodeTotals(_item.value));
+		m_context.quotas.setStoredLevels(decodeTotals(_item.value));
 	}
 	catch (const Error& error)
 	{
--- a/tests/answerheaderstest.cpp
+++ b/tests/answerheaderstest.cpp
@@ -52,7 +52,7 @@
 
 TEST(AnswerHeaders, hugeValueIsBounded)
 {
-	EXPECT_EQ(readRetryAfter(503, "99999999999999999999").backoff, kLongestRetryAfter);
+	EXPECT_EQ(readRetryAfter(503, "99999999999999999999").backoff, kMaxRetryAfter);
 }
 
 TEST(AnswerHeaders, longestOfSeveralValuesIsUsed)
@@ -89,7 +89,7 @@
 RC_GTEST_PROP(AnswerHeaders, anyTextGivesABoundedValueOrNone, (const std::string& text))
 {
 	const auto span = parseRetryAfter(text);
-	RC_ASSERT(!span || (*span >= 0 && *span <= kLongestRetryAfter));
+	RC_ASSERT(!span || (*span >= 0 && *span <= kMaxRetryAfter));
 }
 
 RC_GTEST_PROP(AnswerHeaders, wholeSecondsAreReadExactly, (std::uint16_t seconds))
--- a/tests/capacitytest.cpp
+++ b/tests/capacitytest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Orders for capacity, against a small model of a platform that boots, reclaims and refuses.
+/// Tests orders for capacity against a small model of a platform that boots, reclaims and refuses servers.
 
 #include "coordination/capacityplanner.h"
 #include "coordination/demandmeter.h"
@@ -22,11 +22,11 @@
 /// Backend servers of one kind in one data centre.
 struct Pool
 {
-	unsigned standing = 0;
-	std::deque<Micros> booting; ///< When each will stand.
+	unsigned running = 0;
+	std::deque<Micros> booting; ///< When each will be running.
 };
 
-/// Does what it is ordered to.
+/// Model of the platform that carries out orders.
 class ModelPlatform
 {
 public:
@@ -47,24 +47,24 @@
 			while (!pool.booting.empty() && pool.booting.front() <= now)
 			{
 				pool.booting.pop_front();
-				++pool.standing;
+				++pool.running;
 			}
 		}
 		std::map<std::string, ZoneCapacity> zones;
 		for (const auto& [zone, price] : scaling.zonePrices)
 		{
-			zones[zone].onDemand = pools[{zone, false}].standing;
-			zones[zone].spot = pools[{zone, true}].standing;
+			zones[zone].onDemand = pools[{zone, false}].running;
+			zones[zone].spot = pools[{zone, true}].running;
 			zones[zone].reclaiming = reclaiming.count(zone) > 0 && now < reclaiming[zone];
 		}
 		for (const CapacityOrder& order : planner.plan(scaling, zones, _need, now))
 		{
 			++orders;
-			const bool refused = order.spot && (dryUntil > now || dryZones[order.dataCentre] > now);
+			const bool refused = order.spot && (noSpotUntil > now || noSpotUntilByZone[order.dataCentre] > now);
 			planner.onAnswer(order, !refused, refused, now);
 			if (!refused)
 			{
-				fill(order);
+				execute(order);
 			}
 		}
 	}
@@ -77,19 +77,19 @@
 		}
 	}
 
-	void reclaim(const std::string& _zone, Micros _dry)
+	void reclaim(const std::string& _zone, Micros _span)
 	{
 		pools[{_zone, true}] = {};
 		reclaiming[_zone] = now + 2 * kSecond;
-		dryUntil = now + _dry;
+		noSpotUntil = now + _span;
 	}
 
-	/// As reclaim(), and the other zones go on giving spot capacity.
-	void reclaimAlone(const std::string& _zone, Micros _dry)
+	/// As reclaim(), but the other data centres still have spot capacity.
+	void reclaimOneZone(const std::string& _zone, Micros _span)
 	{
 		pools[{_zone, true}] = {};
 		reclaiming[_zone] = now + 2 * kSecond;
-		dryZones[_zone] = now + _dry;
+		noSpotUntilByZone[_zone] = now + _span;
 	}
 
 	unsigned count(bool _spot) const
@@ -97,7 +97,7 @@
 		unsigned sum = 0;
 		for (const auto& [key, pool] : pools)
 		{
-			sum += key.second == _spot ? pool.standing : 0;
+			sum += key.second == _spot ? pool.running : 0;
 		}
 		return sum;
 	}
@@ -106,21 +106,21 @@
 	CapacityPlanner planner;
 	std::map<std::pair<std::string, bool>, Pool> pools;
 	std::map<std::string, Micros> reclaiming;
-	Micros dryUntil = 0;
-	std::map<std::string, Micros> dryZones;
+	Micros noSpotUntil = 0;
+	std::map<std::string, Micros> noSpotUntilByZone;
 	Micros now = kSecond;
 	unsigned orders = 0;
 
 private:
-	void fill(const CapacityOrder& _order)
+	void execute(const CapacityOrder& _order)
 	{
 		Pool& pool = pools[{_order.dataCentre, _order.spot}];
-		while (pool.standing + pool.booting.size() > _order.count && !pool.booting.empty())
+		while (pool.running + pool.booting.size() > _order.count && !pool.booting.empty())
 		{
 			pool.booting.pop_back();
 		}
-		pool.standing = std::min(pool.standing, _order.count);
-		while (pool.standing + pool.booting.size() < _order.count)
+		pool.running = std::min(pool.running, _order.count);
+		while (pool.running + pool.booting.size() < _order.count)
 		{
 			pool.booting.push_back(now + scaling.bootTime);
 		}
@@ -128,13 +128,13 @@
 };
 } // namespace
 
-TEST(CapacityPlanner, spotReplacesOnDemandWithoutAGap)
+TEST(CapacityPlanner, spotReplacesOnDemandWithoutALossOfCapacity)
 {
 	ModelPlatform platform;
-	platform.pools[{"a", false}].standing = 3;
-	platform.pools[{"b", false}].standing = 2;
-	platform.pools[{"c", false}].standing = 2;
-	platform.pools[{"d", false}].standing = 2;
+	platform.pools[{"a", false}].running = 3;
+	platform.pools[{"b", false}].running = 2;
+	platform.pools[{"c", false}].running = 2;
+	platform.pools[{"d", false}].running = 2;
 	for (int tick = 0; tick < 100; ++tick)
 	{
 		platform.step({6, 4, true});
@@ -144,13 +144,13 @@
 	EXPECT_EQ(platform.count(false), 0u);
 	const unsigned settled = platform.orders;
 	platform.run({6, 4, true}, 10 * kSecond);
-	EXPECT_EQ(platform.orders, settled) << "orders that stand were sent again";
+	EXPECT_EQ(platform.orders, settled) << "orders whose capacity runs were sent again";
 }
 
-TEST(CapacityPlanner, nothingOnDemandIsTouchedBeforeAllOfItIsListed)
+TEST(CapacityPlanner, onDemandCapacityIsKeptUntilAllOfItIsListed)
 {
 	ModelPlatform platform;
-	platform.pools[{"a", false}].standing = 1;
+	platform.pools[{"a", false}].running = 1;
 	platform.run({4, 4, false}, 3 * kSecond);
 	EXPECT_EQ(platform.count(false), 1u);
 	platform.run({4, 4, false}, 10 * kSecond);
@@ -158,7 +158,7 @@
 	EXPECT_EQ(platform.count(false), 1u);
 }
 
-TEST(CapacityPlanner, oneThatPlansAfterARestartKeepsWhatStandsUntilItKnowsTheLoad)
+TEST(CapacityPlanner, aRestartedPlannerKeepsTheRunningCapacityUntilItKnowsTheLoad)
 {
 	ScalingSettings scaling;
 	scaling.minimum = 1;
@@ -166,61 +166,61 @@
 	scaling.zonePrices = {{"a", 1.0}, {"b", 0.8}, {"c", 1.25}, {"d", 0.9}};
 	CapacityPlanner::Observation seen;
 	seen.work = 0.4;
-	seen.standing = 30;
+	seen.running = 30;
 	seen.listed = true;
 	const CapacityPlanner::Need unknown = CapacityPlanner::needFor(scaling, seen);
-	EXPECT_GE(unknown.wished, 30U) << "spot was cut to a tenth while its load had only begun to be counted";
+	EXPECT_GE(unknown.desired, 30U) << "spot was cut to a tenth before its load was known";
 	EXPECT_GE(unknown.required, 30U);
 	seen.settled = true;
 	const CapacityPlanner::Need known = CapacityPlanner::needFor(scaling, seen);
-	EXPECT_LT(known.wished, 10U);
+	EXPECT_LT(known.desired, 10U);
 	EXPECT_LT(known.required, 5U);
 	seen.settled = false;
 	seen.firstStart = true;
 	seen.work = 0.0;
-	seen.standing = 4;
+	seen.running = 4;
 	const CapacityPlanner::Need first = CapacityPlanner::needFor(scaling, seen);
-	EXPECT_EQ(first.wished, CapacityPlanner::firstGuess(scaling));
-	EXPECT_TRUE(first.idle);
+	EXPECT_EQ(first.desired, CapacityPlanner::initialServers(scaling));
+	EXPECT_TRUE(first.noLoadYet);
 }
 
-TEST(StartListing, whatIsOrderedLaterIsNoReasonToWait)
+TEST(InitialListing, serversThatAreOrderedLaterAreNotWaitedFor)
 {
-	StartListing listing;
+	InitialListing listing;
 	Micros now = kSecond;
-	EXPECT_FALSE(listing.complete(0, now)) << "records come one after the other";
+	EXPECT_FALSE(listing.complete(0, now)) << "records arrive one by one";
 	EXPECT_FALSE(listing.complete(2, now += kSecond));
-	EXPECT_FALSE(listing.complete(2, now += StartListing::kSettled));
+	EXPECT_FALSE(listing.complete(2, now += InitialListing::kSettleTime));
 	EXPECT_TRUE(listing.complete(2, now += kSecond));
-	EXPECT_TRUE(listing.complete(9, now += kSecond)) << "ordered in the middle of a wave of reclaims";
+	EXPECT_TRUE(listing.complete(9, now += kSecond)) << "servers ordered during reclaims are waited for";
 	EXPECT_EQ(listing.onDemand(), 9u);
 }
 
-TEST(CapacityPlanner, whereThereIsNoLoadYetSpotIsWaitedForAndNothingOrderedOnDemand)
+TEST(CapacityPlanner, beforeAnyLoadBootingSpotIsNotReplacedOnDemand)
 {
 	ModelPlatform platform;
-	platform.pools[{"a", false}].standing = 4;
+	platform.pools[{"a", false}].running = 4;
 	for (int tick = 0; tick < 40; ++tick)
 	{
 		platform.step({8, 5, true, true});
 		EXPECT_LE(platform.count(false), 4u);
 		const Pool& cheapest = platform.pools[{"b", false}];
-		EXPECT_EQ(cheapest.standing + cheapest.booting.size(), 0u);
+		EXPECT_EQ(cheapest.running + cheapest.booting.size(), 0u);
 	}
 	EXPECT_EQ(platform.count(true), 8u);
 	EXPECT_EQ(platform.count(false), 0u);
 }
 
-TEST(CapacityPlanner, whereSpotIsRefusedBeforeTheLoadComesItIsMadeUpOnDemand)
+TEST(CapacityPlanner, spotThatIsRefusedBeforeAnyLoadIsReplacedOnDemand)
 {
 	ModelPlatform platform;
-	platform.dryUntil = 60 * kSecond;
+	platform.noSpotUntil = 60 * kSecond;
 	platform.run({8, 5, true, true}, 8 * kSecond);
 	EXPECT_EQ(platform.count(true), 0u);
 	EXPECT_EQ(platform.count(false), 5u);
 }
 
-TEST(CapacityPlanner, aReclaimInADrySpellIsMadeUpOnDemandAndGivenBack)
+TEST(CapacityPlanner, aReclaimWithoutOtherSpotCapacityIsReplacedOnDemandForAWhile)
 {
 	ModelPlatform platform;
 	platform.run({8, 5, true}, 10 * kSecond);
@@ -228,7 +228,7 @@
 	platform.reclaim("a", 13 * kSecond);
 	platform.reclaim("b", 13 * kSecond);
 	platform.run({8, 5, true}, 6 * kSecond);
-	// Five are required, and of the four that stand the next reclaim would take two.
+	// Five are required, and the next reclaim would take two of the four running ones.
 	EXPECT_EQ(platform.count(true), 4u);
 	EXPECT_EQ(platform.count(false), 3u);
 	platform.run({8, 5, true}, 25 * kSecond);
@@ -236,32 +236,32 @@
 	EXPECT_EQ(platform.count(false), 0u);
 }
 
-TEST(CapacityPlanner, whatADryZoneDoesNotGiveIsOrderedAsSpotInTheOthers)
+TEST(CapacityPlanner, spotThatOneDataCentreRefusesIsOrderedInTheOthers)
 {
 	ModelPlatform platform;
 	platform.run({12, 6, true}, 10 * kSecond);
 	ASSERT_EQ(platform.count(true), 12u);
-	platform.reclaimAlone("a", 15 * kSecond);
+	platform.reclaimOneZone("a", 15 * kSecond);
 	platform.run({12, 6, true}, 6 * kSecond);
 	EXPECT_GE(platform.count(true), 12u);
 	EXPECT_EQ(platform.count(false), 0u);
 	const unsigned orders = platform.orders;
 	platform.run({12, 6, true}, 8 * kSecond);
 	EXPECT_GE(platform.count(true), 12u);
-	EXPECT_LE(platform.orders - orders, 5u) << "only the dry zone is asked again";
+	EXPECT_LE(platform.orders - orders, 5u) << "only the data centre without spot capacity is asked again";
 	platform.run({12, 6, true}, 25 * kSecond);
 	EXPECT_EQ(platform.count(true), 12u);
-	const auto placed = [&](const char* _zone)
+	const auto spotIn = [&](const char* _zone)
 	{
-		return platform.pools[{_zone, true}].standing;
+		return platform.pools[{_zone, true}].running;
 	};
-	EXPECT_EQ(placed("a"), 3u);
+	EXPECT_EQ(spotIn("a"), 3u);
 }
 
-/// Two of four data centres were reclaimed within 3.5 s and gave nothing. The planner then spread the wish over all
-/// four and gave half of the 44 that stood back, of 39 wished; 1 s later the other two went as well, and 15 stood
-/// where 32 were needed.
-TEST(CapacityPlanner, nothingThatStandsIsReleasedBeforeWhatReplacesItServes)
+/// Two of four data centres are reclaimed within 3.5 s and have no spot capacity then. A planner that spreads
+/// the desired 39 over all four data centres releases half of the 44 running servers; when the other two are
+/// reclaimed 1 s later, 15 servers run where 32 are needed.
+TEST(CapacityPlanner, noRunningServerIsReleasedBeforeItsReplacementRuns)
 {
 	ModelPlatform platform;
 	platform.scaling.maximum = 56;
@@ -275,7 +275,7 @@
 		platform.step({39, 37, true});
 		EXPECT_GE(platform.count(true), 44u) << "at tick " << tick;
 	}
-	// Once all data centres give again, what is over is released, and never more than that.
+	// Once all data centres have spot capacity again, the surplus is released, and no more than that.
 	for (int tick = 0; tick < 120; ++tick)
 	{
 		platform.step({39, 37, true});
@@ -285,9 +285,10 @@
 	EXPECT_EQ(platform.count(false), 0u);
 }
 
-/// All four data centres are reclaimed within 18 s and give nothing for 14 s each. With on demand ordered once a
-/// reclaim had taken what it replaces, 22 engines stood after the third one and 15 after the fourth.
-TEST(CapacityPlanner, whatTheNextReclaimWouldTakeIsMadeUpBeforehandInADrySpell)
+/// All four data centres are reclaimed within 18 s and have no spot capacity for 14 s each. If on-demand
+/// servers are ordered only after a reclaim took the servers that they replace, 22 engines run after the third
+/// reclaim and 15 after the fourth.
+TEST(CapacityPlanner, withoutSpotCapacityTheNextReclaimIsReplacedBeforehand)
 {
 	constexpr unsigned kRequired = 37;
 	ModelPlatform platform;
@@ -316,41 +317,41 @@
 		platform.step({need % 40u, need % 30u, true});
 		for (const auto& [zone, price] : platform.scaling.zonePrices)
 		{
-			const unsigned spot = platform.pools[{zone, true}].standing;
+			const unsigned spot = platform.pools[{zone, true}].running;
 			RC_ASSERT(spot <= platform.scaling.maximum);
 		}
 	}
 }
 
-TEST(CapacityPlanner, moreWorkNeverCallsForLess)
+TEST(CapacityPlanner, moreWorkNeverNeedsFewerServers)
 {
 	for (double work = 0.0; work < 50.0; work += 0.1)
 	{
-		EXPECT_LE(CapacityPlanner::serversFor(work), CapacityPlanner::serversFor(work + 0.1));
-		EXPECT_LE(CapacityPlanner::serversRequired(work), CapacityPlanner::serversFor(work));
+		EXPECT_LE(CapacityPlanner::serversDesired(work), CapacityPlanner::serversDesired(work + 0.1));
+		EXPECT_LE(CapacityPlanner::serversRequired(work), CapacityPlanner::serversDesired(work));
 		EXPECT_GE(CapacityPlanner::serversRequired(work), work);
 	}
 }
 
 RC_GTEST_PROP(CapacityPlanner, slotsAreNeitherLeftFullNorMostlyEmpty, ())
 {
-	// Requests that hold their slots for long, beside prompts that are read and slow them down.
+	// Requests hold their slots for long, and the prefill of other prompts slows them down.
 	const double reading = *rc::gen::inRange(0, 300) / 10.0;
 	const double holding = *rc::gen::inRange(0, 300) / 10.0;
-	double standing = *rc::gen::inRange(1, 40);
+	double running = *rc::gen::inRange(1, 40);
 	double held = 0.0;
 	for (int round = 0; round < 12; ++round)
 	{
-		const double pace = std::max(0.05, 1.0 - reading / standing);
-		held = std::min(standing, holding / pace);
-		standing = CapacityPlanner::serversFor(CapacityPlanner::combinedWork(reading, holding));
+		const double pace = std::max(0.05, 1.0 - reading / running);
+		held = std::min(running, holding / pace);
+		running = CapacityPlanner::serversDesired(CapacityPlanner::combinedWork(reading, holding));
 	}
-	RC_ASSERT(held / standing < 0.8);
+	RC_ASSERT(held / running < 0.8);
 	const double busy = reading + holding / 0.65;
-	RC_ASSERT(standing < 2.0 + busy + std::max(busy, 2.0 * std::sqrt(busy) + 3.0));
+	RC_ASSERT(running < 2.0 + busy + std::max(busy, 2.0 * std::sqrt(busy) + 3.0));
 }
 
-TEST(DemandMeter, countsSlotsHeldHereAndAtPeersOnce)
+TEST(DemandMeter, countsHeldSlotsOfThisGatewayAndItsPeersOnce)
 {
 	DemandMeter meter;
 	Micros now = kSecond;
@@ -360,24 +361,24 @@
 		now += 100 * kMillisecond;
 		held += 0.1;
 		meter.onReport("b", 5, {"model", held, held});
-		meter.onReport("b", 5, {"model", held, held - 0.05}); // Late.
-		meter.onArrival("model", 0.0, 0.8, 4);                // Eight slots of four at a time: two engines.
+		meter.onReport("b", 5, {"model", held, held - 0.05}); // A late report.
+		meter.onArrival("model", 0.0, 0.8, 4);                // Eight slots, four per engine: two engines.
 		meter.advance(now);
 	}
 	EXPECT_NEAR(meter.occupied("model"), 3.0, 0.2);
 }
 
-TEST(DemandMeter, countsWhatPeersBringOnceAndForgetsAPeak)
+TEST(DemandMeter, countsTheWorkOfPeersOnceAndForgetsAPeak)
 {
 	DemandMeter meter;
 	Micros now = kSecond;
-	double brought = 0.0;
+	double reportedWork = 0.0;
 	for (int tick = 0; tick < 200; ++tick)
 	{
 		now += 100 * kMillisecond;
-		brought += 0.2; // Two seconds of work a second.
-		meter.onReport("b", 5, {"model", brought, 0.0});
-		meter.onReport("b", 5, {"model", brought - 0.1, 0.0}); // Late.
+		reportedWork += 0.2; // Two seconds of work each second.
+		meter.onReport("b", 5, {"model", reportedWork, 0.0});
+		meter.onReport("b", 5, {"model", reportedWork - 0.1, 0.0}); // A late report.
 		meter.advance(now);
 	}
 	EXPECT_NEAR(meter.work("model"), 2.0, 0.2);
@@ -388,7 +389,8 @@
 		meter.advance(now);
 	}
 	EXPECT_LT(meter.work("model"), 0.2);
-	meter.onReport("b", 6, {"model", 100.0, 0.0}); // Restarted and first heard now: old work is not new work.
+	// The peer restarted and is first heard now: its old work is not new work.
+	meter.onReport("b", 6, {"model", 100.0, 0.0});
 	meter.advance(now + kSecond);
 	EXPECT_LT(meter.work("model"), 0.2);
 }
