--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -129,7 +129,7 @@
 	if (keyUnknown || (keyNeeded && !m_team))
 	{
 		const bool mayBeNewer = stale && keyUnknown;
-		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "no such key",
+		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "unknown API key",
 			   kStoreUnavailableRetryAfter);
 		return false;
 	}
@@ -203,13 +203,13 @@
 	};
 	const QuotaVerdict verdict =
 		m_context.admission.take(m_quotaTicket, m_team->name, amount, monotonicNow(), decided);
-	if (verdict.bound == QuotaRefusalReason::Pending)
+	if (verdict.reason == QuotaRefusalReason::Pending)
 	{
 		return false;
 	}
 	if (!verdict.passes())
 	{
-		refuse(Failure::QuotaExceeded, "over the team's quota: " + std::string(toString(verdict.bound)),
+		refuse(Failure::QuotaExceeded, "over the team's quota: " + std::string(toString(verdict.reason)),
 			   verdict.wait);
 		return false;
 	}
@@ -387,7 +387,7 @@
 		else
 		{
 			self->m_context.retryBudget.onRetry(self->m_service, monotonicNow());
-			self->chargeRetry();
+			self->chargeRepeat();
 		}
 		++self->m_sendCount;
 	};
@@ -478,10 +478,10 @@
 	}
 	if (m_team && m_quotaTaken > 0.0 && !m_mayHaveRun && m_sendCount == 0)
 	{
-		m_context.admission.giveBack(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
+		m_context.admission.refund(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
 	}
 	m_session->answer(
-		makeOwnAnswer(_status, _failure, _detail, _retryAfter, platform::ownAnswerHeaders(m_info.id)));
+		makeErrorAnswer(_status, _failure, _detail, _retryAfter, platform::errorAnswerHeaders(m_info.id)));
 	finish(std::string(failureInfo(_failure).type), _status, _detail);
 }
 
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -76,8 +76,8 @@
 		return;
 	}
 	m_usageCounted = true;
-	const Micros startTime = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
-	m_context.usage.onRequestStarted(m_context.currentWindow(startTime), m_team->name);
+	const Micros began = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
+	m_context.usage.onRequestStarted(m_context.currentWindow(began), m_team->name);
 }
 
 void Exchange::onBody(std::string_view _bytes)
@@ -293,10 +293,10 @@
 	}
 	if (decision == AttemptDecision::AnswerNotRun)
 	{
-		refuse(Failure::NoBackend, "no backend server took the request", retryAfter(now));
+		refuse(Failure::NoBackend, "no backend server accepted the request", retryAfter(now));
 		return;
 	}
-	refuse(Failure::BackendLost, "the backend server gave no answer");
+	refuse(Failure::BackendLost, "the backend server did not answer");
 }
 
 void Exchange::abortStream()
