--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -432,7 +432,7 @@
 	observation.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	observation.firstStart = m_context.settings.firstStart;
 	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _servers);
-	observation.standing = m_startListings[_service.name].standing();
+	observation.running = m_startListings[_service.name].running();
 	return CapacityPlanner::needFor(*_service.scaling, observation);
 }
 
--- a/src/gateway/gatewaymetrics.cpp
+++ b/src/gateway/gatewaymetrics.cpp
@@ -170,7 +170,7 @@
 	out << "# TYPE beacongate_sends_total counter\n";
 	for (const auto& [listingState, count] : m_sends)
 	{
-		out << "beacongate_sends_total{standing=" << quoteLabel(toString(standing)) << "} " << count << '\n';
+		out << "beacongate_sends_total{standing=" << quoteLabel(toString(listingState)) << "} " << count << '\n';
 	}
 	formatLatencies(out, "beacongate_request_seconds", "route", m_durations);
 	formatLatencies(out, "beacongate_first_byte_seconds", "service", m_firstBytes);
--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -51,10 +51,10 @@
 	request.onProgress = [this]
 	{
 		// The channel is closed before this reader is destroyed, and calls nothing afterwards.
-		m_contact.onHeard(monotonicNow());
+		m_contact.onBytesReceived(monotonicNow());
 	};
 	m_requestedAt = monotonicNow();
-	m_contact.onAsked(m_requestedAt);
+	m_contact.onReadSent(m_requestedAt);
 	m_channel->call(std::move(request), m_idleTimeout,
 					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
 					{
