--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -70,7 +70,7 @@
 void BackendListSync::check()
 {
 	const Micros now = monotonicNow();
-	m_context.storeContact.onProcessStalled(std::max<Micros>(0, now - m_due), now);
+	m_context.storeReachability.onProcessStalled(std::max<Micros>(0, now - m_due), now);
 	if (m_context.directory.revision() == 0)
 	{
 		schedule(kStartCheckInterval);
@@ -81,7 +81,7 @@
 	{
 		onListFresh(age);
 	}
-	else if (m_context.storeContact.isUnreachable(now))
+	else if (m_context.storeReachability.isUnreachable(now))
 	{
 		waitWhileUnreachable(now);
 	}
@@ -94,7 +94,7 @@
 void BackendListSync::onListFresh(Micros _age)
 {
 	onStoreReachable(_age);
-	m_context.storeContact.resetFindings();
+	m_context.storeReachability.resetFindings();
 	m_pace.onAnswered();
 	schedule(std::max(kCheckInterval, m_budget.listReadAge - _age));
 }
@@ -119,19 +119,19 @@
 
 void BackendListSync::waitWhileUnreachable(Micros _now)
 {
-	const StoreReachability& contact = m_context.storeContact;
+	const StoreReachability& reachability = m_context.storeReachability;
 	m_context.directory.onStoreUnreachable(_now);
 	if (!m_storeUnreachable)
 	{
 		m_storeUnreachable = true;
 		logEvent(LogLevel::Warning, "store-out-of-reach",
-				 {{"cause", contact.rejectsReads() ? "turned-away" : "silent"},
-				  {"silent_ms", millisText(contact.silence(_now))},
+				 {{"cause", reachability.rejectsReads() ? "turned-away" : "silent"},
+				  {"silent_ms", millisText(reachability.silence(_now))},
 				  {"list_age_ms", millisText(m_context.directory.listAge(_now))}});
 		// The connections of these reads may be dead, and would keep later reads from starting.
 		cancelReads();
 	}
-	if (contact.idle(_now) > kProbeInterval)
+	if (reachability.idle(_now) > kProbeInterval)
 	{
 		startReadOrProbe(_now);
 	}
@@ -167,8 +167,8 @@
 	m_probing = true;
 	if (!m_probe)
 	{
-		m_probe = std::make_shared<RangeReader>(m_context.loop, m_context.storeContact, m_context.settings.store,
-												std::string(kHolderKey), kReadTimeout);
+		m_probe = std::make_shared<RangeReader>(m_context.loop, m_context.storeReachability,
+												m_context.settings.store, std::string(kHolderKey), kReadTimeout);
 	}
 	m_probe->read(m_budget.maxListAge,
 				  [self = shared_from_this()](const std::optional<StoreContent>& _content)
@@ -187,8 +187,8 @@
 	ReaderPtr reader = std::exchange(m_idleReader, nullptr);
 	if (!reader)
 	{
-		reader = std::make_shared<RangeReader>(m_context.loop, m_context.storeContact, m_context.settings.store,
-											   platform::backendPrefix(), kReadTimeout);
+		reader = std::make_shared<RangeReader>(m_context.loop, m_context.storeReachability,
+											   m_context.settings.store, platform::backendPrefix(), kReadTimeout);
 	}
 	m_reads.push_back(reader);
 	// A slower answer would deliver a list that is too old to send requests by.
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -125,14 +125,14 @@
 
 void DutyHolder::tryAcquire()
 {
-	const bool taken = revisionOf(kHolderKey) != 0;
+	const bool held = revisionOf(kHolderKey) != 0;
 	const Micros sent = monotonicNow();
 	const bool contentFresh = m_context.content.confirmed + kMaxContentAge > sent;
-	if (taken)
+	if (held)
 	{
 		m_vacantSince = kNever;
 	}
-	if (m_acquiring || taken || !contentFresh)
+	if (m_acquiring || held || !contentFresh)
 	{
 		return;
 	}
@@ -340,12 +340,12 @@
 		[self = shared_from_this(), _window, fence = m_lease.fence()](const std::optional<HttpAnswer>& _answer)
 		{
 			self->m_pendingWindows.erase(_window);
-			const bool taken = _answer && _answer->status == 200;
-			if (taken)
+			const bool accepted = _answer && _answer->status == 200;
+			if (accepted)
 			{
 				self->m_reportedWindows.insert(_window);
 			}
-			logEvent(taken ? LogLevel::Info : LogLevel::Warning, "usage-report",
+			logEvent(accepted ? LogLevel::Info : LogLevel::Warning, "usage-report",
 					 {{"window", std::to_string(_window)},
 					  {"fence", std::to_string(fence)},
 					  {"status", _answer ? std::to_string(_answer->status) : "none"}});
@@ -427,12 +427,13 @@
 	CapacityPlanner::Observation observation;
 	observation.work = work;
 	// A gateway that does not hear most of the fleet does not know the load, and keeps the current capacity.
-	const FleetLiveness& word = m_context.quotas.word();
-	const bool hearsMost = word.contact(_now) == FleetContact::Whole && word.silentShare(_now) < kMaxSilentShare;
+	const FleetLiveness& liveness = m_context.quotas.liveness();
+	const bool hearsMost =
+		liveness.contact(_now) == FleetContact::Established && liveness.silentShare(_now) < kMaxSilentShare;
 	observation.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	observation.firstStart = m_context.settings.firstStart;
-	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _servers);
-	observation.standing = m_startListings[_service.name].standing();
+	observation.listed = m_initialListings[_service.name].complete(_onDemand, _now, _servers);
+	observation.running = m_initialListings[_service.name].running();
 	return CapacityPlanner::needFor(*_service.scaling, observation);
 }
 
@@ -445,10 +446,10 @@
 		[self = shared_from_this(), _service, _order](const std::optional<HttpAnswer>& _answer)
 		{
 			--self->m_pendingOrders;
-			const bool taken = _answer && _answer->status == 200;
+			const bool accepted = _answer && _answer->status == 200;
 			const bool refused = _answer && _answer->status == 409;
-			self->m_planners[_service].onAnswer(_order, taken, refused, monotonicNow());
-			if (!taken)
+			self->m_planners[_service].onAnswer(_order, accepted, refused, monotonicNow());
+			if (!accepted)
 			{
 				logEvent(LogLevel::Warning, "capacity-order-failed",
 						 {{"service", _service},
--- a/src/gateway/dutyholder.h
+++ b/src/gateway/dutyholder.h
@@ -82,8 +82,8 @@
 	Micros m_countsStoredAt = kLongAgo;
 	bool m_storingCounts = false;
 	std::map<std::string, CapacityPlanner> m_planners;
-	std::map<std::string, InitialListing> m_startListings;
-	std::size_t m_openOrders = 0;
+	std::map<std::string, InitialListing> m_initialListings;
+	std::size_t m_pendingOrders = 0;
 };
 
 } // namespace beacongate
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -387,7 +387,7 @@
 		else
 		{
 			self->m_context.retryBudget.onRetry(self->m_service, monotonicNow());
-			self->chargeRepeat();
+			self->chargeRetry();
 		}
 		++self->m_sendCount;
 	};
@@ -428,8 +428,8 @@
 	const bool inTime = timeLeft(now) > 0;
 	const bool listed =
 		m_context.directory.takesWork(m_attempt.backend, now) && !m_context.directory.listOutdated(now);
-	const bool asked = m_context.backoffs.left(m_attempt.key, now) > 0;
-	m_attempt.withheld = !inTime || !listed || asked;
+	const bool inBackoff = m_context.backoffs.left(m_attempt.key, now) > 0;
+	m_attempt.withheld = !inTime || !listed || inBackoff;
 	return !m_attempt.withheld;
 }
 
@@ -545,8 +545,8 @@
 			  {"ms", millisText(now - m_request.received)},
 			  {"config", m_config ? std::to_string(m_config->version) : "-"},
 			  {"config_age_ms", millisText(m_context.directory.age(now))},
-			  {"list_age_ms", m_sent == 0 ? "-" : millisText(m_attempt.listAge)},
-			  {"standing", m_sent == 0 ? "-" : std::string(toString(m_attempt.listingState))},
+			  {"list_age_ms", m_sendCount == 0 ? "-" : millisText(m_attempt.listAge)},
+			  {"standing", m_sendCount == 0 ? "-" : std::string(toString(m_attempt.listingState))},
 			  {"backoff_left_ms", millisText(m_attempt.backoffLeft)}});
 }
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -63,19 +63,20 @@
 		BackendIdentity backend;
 		BackendKey key; ///< Identifies the backend server's incarnation.
 		OutgoingCall::Ptr call;
-		Micros sent = 0;
+		Micros sent = 0; ///< When the attempt started.
 		unsigned slots = 0;
 		MessageHead head;
 		AnswerInfo info;
 		std::string body;
 		EventSplitter events;
-		Micros listAge = 0; ///< How old the list of backend servers was as the request went out.
-		ListingState listingState = ListingState::Gone; ///< Of the backend server on that list.
-		bool afterBackoff = false; ///< One of the few that its backend server gets after a backoff.
-		Micros backoffLeft = 0;    ///< Of what the backend server asked for, as the request went out.
-		bool heldBack = false;     ///< It was not sent for a reason that does not lie with the backend server.
-		bool onTheWire = false;
-		bool firstEvent = false;
+		Micros listAge = 0; ///< Age of the list of backend servers when the request was sent.
+		ListingState listingState = ListingState::Gone; ///< State of the backend server in that list.
+		bool backoffProbe = false; ///< This is one of the few requests that a server gets after its backoff.
+		Micros backoffLeft = 0;    ///< What remained of the server's backoff when the request was sent.
+		/// The request was not sent, for a reason that is not the backend server's fault.
+		bool withheld = false;
+		bool requestSent = false;
+		bool firstEventSeen = false;
 		Micros firstEventAt = 0;
 		unsigned eventCount = 0;
 		bool resumed = false; ///< The stream continues one that broke off.
@@ -100,10 +101,10 @@
 	bool keyMayBeRevoked(Micros _now) const;
 	/// @returns the backend servers to which the request may be sent now.
 	Availability available(Micros _now) const;
-	/// @returns what it is weighed by while nothing has room for it.
+	/// @returns the conditions that decide whether the request waits for room.
 	OverloadContext roomContext(Micros _now) const;
-	/// Refuses what cannot be served in time.
-	/// @returns whether it was refused.
+	/// Refuses the request if it cannot be served in time.
+	/// @returns true if the request was refused.
 	bool refuseWithoutRoom(const Availability& _available, Micros _now);
 	/// @returns the delay after which the caller of a refused request may retry.
 	Micros retryAfter(Micros _now);
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -53,8 +53,8 @@
 	const AnswerInfo& info = m_attempt.info;
 	if (info.leaving && !info.misdirected)
 	{
-		// The server says so before its record does where the store is slow, and instead of it where the store is
-		// away. Who is another server than was meant speaks for itself alone.
+		// The header precedes the change of the server's record if the store is slow, and replaces it if the store
+		// is unreachable. A server that was reached by mistake speaks only for itself.
 		m_context.directory.markDraining(m_attempt.backend, DepartureSource::Answer, monotonicNow());
 	}
 	if (info.backoffUnreadable)
@@ -76,8 +76,8 @@
 		return;
 	}
 	m_usageCounted = true;
-	const Micros began = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
-	m_context.usage.onRequestStarted(m_context.currentWindow(began), m_team->name);
+	const Micros startTime = m_route->kind == RouteKind::Stream ? monotonicNow() : m_attempt.sent;
+	m_context.usage.onRequestStarted(m_context.currentWindow(startTime), m_team->name);
 }
 
 void Exchange::onBody(std::string_view _bytes)
@@ -247,19 +247,19 @@
 	}
 	m_unsentTries += _result == AttemptResult::NotSent && !m_attempt.withheld ? 1 : 0;
 	m_mayHaveRun = m_mayHaveRun || mayHaveRunAfter(_result);
-	AttemptContext attempts;
-	attempts.repeatable = m_route->repeatable();
-	attempts.mayHaveRun = m_mayHaveRun;
-	attempts.sent = m_sent;
-	attempts.maxAttempts = m_route->maxAttempts;
-	attempts.unsentTries = m_unsentTries;
-	attempts.budgetAllows = m_context.retryBudget.allows(m_service, now);
-	attempts.timeLeft = timeLeft(now) > kAttemptMin;
-	const Availability open = available(now);
-	attempts.anotherBackend =
-		!open.open.empty() || open.limited ||
-		(open.waitsForBackoff() && decideOnOverload(roomContext(now), open) == OverloadDecision::Wait);
-	const AttemptDecision decision = decideAfterAttempt(_result, attempts);
+	AttemptContext context;
+	context.repeatable = m_route->repeatable();
+	context.mayHaveRun = m_mayHaveRun;
+	context.sent = m_sendCount;
+	context.maxAttempts = m_route->maxAttempts;
+	context.unsentTries = m_unsentTries;
+	context.budgetAllows = m_context.retryBudget.allows(m_service, now);
+	context.timeLeft = timeLeft(now) > kMinAttemptTime;
+	const Availability candidates = available(now);
+	context.anotherBackend =
+		!candidates.open.empty() || candidates.limited ||
+		(candidates.waitsForBackoff() && decideOnOverload(roomContext(now), candidates) == OverloadDecision::Wait);
+	const AttemptDecision decision = decideAfterAttempt(_result, context);
 	m_context.metrics.onFailedAttempt(m_service, toString(_result));
 	logEvent(LogLevel::Info, "attempt-failed",
 			 {{"request", m_info.id},
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -228,15 +228,15 @@
 	metrics.setGauge("beacongate_members", static_cast<double>(m_context.peers.memberCount(now)));
 	metrics.setGauge("beacongate_gateways_heard",
 					 static_cast<double>(m_context.quotas.liveness().gatewaysHeard(now)));
-	const Micros wordAge = m_context.quotas.liveness().age(now);
-	metrics.setGauge("beacongate_quota_word_age_seconds", wordAge == kNever ? -1.0 : secondsOf(wordAge));
-	const QuotaGrantCounts& asks = m_context.admission.counts();
-	metrics.setGauge("beacongate_quota_asks_granted", static_cast<double>(asks.granted));
-	metrics.setGauge("beacongate_quota_asks_refused", static_cast<double>(asks.refused));
-	metrics.setGauge("beacongate_quota_asks_unable", static_cast<double>(asks.unable));
-	metrics.setGauge("beacongate_quota_asks_unanswered", static_cast<double>(asks.unanswered));
-	metrics.setGauge("beacongate_quota_requests_undecided", static_cast<double>(asks.undecided));
-	metrics.setGauge("beacongate_quota_grants_returned", static_cast<double>(asks.returned));
+	const Micros reportAge = m_context.quotas.liveness().age(now);
+	metrics.setGauge("beacongate_quota_word_age_seconds", reportAge == kNever ? -1.0 : secondsOf(reportAge));
+	const QuotaGrantCounts& grants = m_context.admission.counts();
+	metrics.setGauge("beacongate_quota_asks_granted", static_cast<double>(grants.granted));
+	metrics.setGauge("beacongate_quota_asks_refused", static_cast<double>(grants.refused));
+	metrics.setGauge("beacongate_quota_asks_unable", static_cast<double>(grants.unable));
+	metrics.setGauge("beacongate_quota_asks_unanswered", static_cast<double>(grants.unanswered));
+	metrics.setGauge("beacongate_quota_requests_undecided", static_cast<double>(grants.undecided));
+	metrics.setGauge("beacongate_quota_grants_returned", static_cast<double>(grants.returned));
 	metrics.setGauge("beacongate_duties_held", m_duties && m_duties->holds() ? 1.0 : 0.0);
 	metrics.setGauge("beacongate_buffered_bytes", static_cast<double>(m_callerContext->bufferedBytes));
 	metrics.setGauge("beacongate_log_lines_left_out", static_cast<double>(droppedLogLines()));
--- a/src/gateway/gatewaycontext.h
+++ b/src/gateway/gatewaycontext.h
@@ -46,7 +46,7 @@
 {
 	explicit GatewayContext(GatewaySettings _configured)
 		: settings(std::move(_configured)), run{settings.name, newIncarnation()},
-		  storeContact(DrainBudget(settings.drainSpan).storeTimeout),
+		  storeReachability(DrainBudget(settings.drainSpan).storeTimeout),
 		  balancer(settings.dataCentre, static_cast<std::uint32_t>(run.incarnation)), grantor(quotas),
 		  admission(quotas, grantor, settings.callers.host, run.incarnation), peers(settings.callers.host),
 		  relays({settings.callers.host, settings.dataCentre, settings.cpuPercent}), usage(run),
@@ -95,7 +95,7 @@
 	Micros relayAnswered = kLongAgo;      ///< When a relay last answered.
 	ContentHistory history;
 	BackendRecords backendRecords;
-	StoreReachability storeContact;
+	StoreReachability storeReachability;
 	Balancer balancer;
 	BackoffTable backoffs;
 	QuotaLedger quotas;
--- a/src/gateway/gatewaymetrics.cpp
+++ b/src/gateway/gatewaymetrics.cpp
@@ -124,9 +124,9 @@
 	record(m_queueTimes, _service, _waited);
 }
 
-void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, ListingState _standing)
+void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, ListingState _listingState)
 {
-	++m_sends[_standing];
+	++m_sends[_listingState];
 	record(m_listAges, _service, _listAge);
 }
 
@@ -170,7 +170,7 @@
 	out << "# TYPE beacongate_sends_total counter\n";
 	for (const auto& [listingState, count] : m_sends)
 	{
-		out << "beacongate_sends_total{standing=" << quoteLabel(toString(standing)) << "} " << count << '\n';
+		out << "beacongate_sends_total{standing=" << quoteLabel(toString(listingState)) << "} " << count << '\n';
 	}
 	formatLatencies(out, "beacongate_request_seconds", "route", m_durations);
 	formatLatencies(out, "beacongate_first_byte_seconds", "service", m_firstBytes);
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -166,7 +166,7 @@
 	// The previous collector has already reported what this one counted. If it were added as new, everything taken
 	// since the start of a young fleet would be counted twice: a level of -78 requests with a burst of 60 in a
 	// soak of 18 gateways.
-	return m_context.quotas.word().replacesAnother(_group, _source) ? kNever : _uptime;
+	return m_context.quotas.liveness().replacesAnother(_group, _source) ? kNever : _uptime;
 }
 
 void Gossiper::applyCounters(const std::string& _source, const GossipMessage& _message, Micros _countingSpan,
--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -17,10 +17,11 @@
 constexpr unsigned kTooManyRequests = 429; ///< All gateways together call too often; the store itself is healthy.
 } // namespace
 
-RangeReader::RangeReader(boost::asio::io_context& _loop, StoreReachability& _contact, const Address& _store,
+RangeReader::RangeReader(boost::asio::io_context& _loop, StoreReachability& _reachability, const Address& _store,
 						 std::string _prefix, Micros _pageTimeout)
-	: m_contact(_contact), m_channel(std::make_shared<HttpChannel>(_loop, _store, limits::kSnapshotBytes)),
-	  m_prefix(std::move(_prefix)), m_pageTimeout(_pageTimeout)
+	: m_reachability(_reachability),
+	  m_channel(std::make_shared<HttpChannel>(_loop, _store, limits::kSnapshotBytes)), m_prefix(std::move(_prefix)),
+	  m_pageTimeout(_pageTimeout)
 {
 }
 
@@ -39,7 +40,7 @@
 	m_channel->close();
 	if (m_requestedAt != kNever)
 	{
-		m_contact.onReadAbandoned(std::exchange(m_requestedAt, kNever), monotonicNow());
+		m_reachability.onReadAbandoned(std::exchange(m_requestedAt, kNever), monotonicNow());
 	}
 	m_handler = nullptr;
 }
@@ -51,10 +52,10 @@
 	request.onProgress = [this]
 	{
 		// The channel is closed before this reader is destroyed, and calls nothing afterwards.
-		m_contact.onHeard(monotonicNow());
+		m_reachability.onHeard(monotonicNow());
 	};
 	m_requestedAt = monotonicNow();
-	m_contact.onAsked(m_requestedAt);
+	m_reachability.onAsked(m_requestedAt);
 	m_channel->call(std::move(request), m_idleTimeout,
 					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
 					{
@@ -69,19 +70,19 @@
 {
 	const Micros now = monotonicNow();
 	const std::optional<KvPage> page = platform::readRange(_answer);
-	const bool busy = _answer && _answer->status == kTooManyRequests;
-	const Micros asked = std::exchange(m_requestedAt, kNever);
+	const bool tooManyRequests = _answer && _answer->status == kTooManyRequests;
+	const Micros requestedAt = std::exchange(m_requestedAt, kNever);
 	if (page)
 	{
 		m_fault = ChannelFault::None;
-		m_contact.onAnswered(asked, now);
+		m_reachability.onAnswered(requestedAt, now);
 	}
 	else
 	{
-		const ChannelFault answered = busy ? ChannelFault::Busy : ChannelFault::TurnedAway;
+		const ChannelFault answered = tooManyRequests ? ChannelFault::Busy : ChannelFault::TurnedAway;
 		m_fault = _answer ? answered : m_channel->fault();
-		m_fault == ChannelFault::TurnedAway ? m_contact.onReadRejected(asked, now)
-											: m_contact.onReadAbandoned(asked, now);
+		m_fault == ChannelFault::TurnedAway ? m_reachability.onReadRejected(requestedAt, now)
+											: m_reachability.onReadAbandoned(requestedAt, now);
 	}
 	onPage(page);
 }
--- a/src/gateway/rangereader.h
+++ b/src/gateway/rangereader.h
@@ -30,7 +30,7 @@
 	using Handler = std::function<void(std::optional<StoreContent>)>;
 
 	/// @param[in] _pageTimeout A page that is not complete after this span has failed.
-	RangeReader(boost::asio::io_context& _loop, StoreReachability& _contact, const Address& _store,
+	RangeReader(boost::asio::io_context& _loop, StoreReachability& _reachability, const Address& _store,
 				std::string _prefix, Micros _pageTimeout);
 
 	/// Starts a read. No other read may be running.
@@ -58,7 +58,7 @@
 	void onAnswer(const std::optional<HttpAnswer>& _answer);
 	void onPage(const std::optional<KvPage>& _page);
 
-	StoreReachability& m_contact;
+	StoreReachability& m_reachability;
 	std::shared_ptr<HttpChannel> m_channel;
 	std::string m_prefix;
 	Micros m_idleTimeout = 0;
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -58,7 +58,7 @@
 } // namespace
 
 StoreSync::StoreSync(GatewayContext& _context)
-	: m_context(_context), m_reader(std::make_shared<RangeReader>(_context.loop, _context.storeContact,
+	: m_context(_context), m_reader(std::make_shared<RangeReader>(_context.loop, _context.storeReachability,
 																  _context.settings.store, "", kMaxReadDuration)),
 	  m_watchChannel(std::make_shared<HttpChannel>(_context.loop, _context.settings.store, limits::kSnapshotBytes)),
 	  m_readTimer(_context.loop), m_watchTimer(_context.loop), m_peerTimer(_context.loop)
@@ -161,23 +161,23 @@
 	ChannelRequest request;
 	request.target = std::string(kUpdatePath) + std::to_string(m_context.content.revision);
 	request.longest = kReadIdleTimeout;
-	const Micros asked = monotonicNow();
+	const Micros requestedAt = monotonicNow();
 	m_relayChannel->call(std::move(request), kRelayTimeout,
-						 [self = shared_from_this(), asked](const std::optional<HttpAnswer>& _answer)
+						 [self = shared_from_this(), requestedAt](const std::optional<HttpAnswer>& _answer)
 						 {
 							 if (!self->m_closed)
 							 {
-								 self->onRelayAnswer(asked, _answer);
+								 self->onRelayAnswer(requestedAt, _answer);
 							 }
 						 });
 }
 
-void StoreSync::onRelayAnswer(Micros _asked, const std::optional<HttpAnswer>& _answer)
+void StoreSync::onRelayAnswer(Micros _requestedAt, const std::optional<HttpAnswer>& _answer)
 {
 	recordRelayAnswer(_answer.has_value());
 	const bool tooOld = _answer && _answer->status == kNotFound;
 	const auto update = _answer && _answer->status == kOk ? decodeUpdate(_answer->body) : std::nullopt;
-	if (tooOld || (update && update->age <= kMaxRelayContentAge && !acceptUpdate(_asked, *update)))
+	if (tooOld || (update && update->age <= kMaxRelayContentAge && !acceptUpdate(_requestedAt, *update)))
 	{
 		askRelayForContent();
 		return;
@@ -213,13 +213,13 @@
 	ChannelRequest request;
 	request.target = std::string(kContentPath);
 	request.longest = kReadIdleTimeout;
-	const Micros asked = monotonicNow();
+	const Micros requestedAt = monotonicNow();
 	m_relayChannel->call(std::move(request), kRelayTimeout,
-						 [self = shared_from_this(), asked](const std::optional<HttpAnswer>& _answer)
+						 [self = shared_from_this(), requestedAt](const std::optional<HttpAnswer>& _answer)
 						 {
 							 if (!self->m_closed)
 							 {
-								 self->onRelayContent(asked, _answer);
+								 self->onRelayContent(requestedAt, _answer);
 							 }
 						 });
 }
@@ -232,15 +232,15 @@
 	}
 }
 
-void StoreSync::onRelayContent(Micros _asked, const std::optional<HttpAnswer>& _answer)
+void StoreSync::onRelayContent(Micros _requestedAt, const std::optional<HttpAnswer>& _answer)
 {
 	recordRelayAnswer(_answer.has_value());
 	std::optional<StoreContent> content;
 	if (_answer && _answer->status == kOk)
 	{
-		content = decodeContent(_answer->body, _asked);
+		content = decodeContent(_answer->body, _requestedAt);
 	}
-	const bool fresh = content && _asked - content->confirmed <= kMaxRelayContentAge;
+	const bool fresh = content && _requestedAt - content->confirmed <= kMaxRelayContentAge;
 	if (!fresh || content->revision < m_context.content.revision)
 	{
 		// The relay has just started or is behind, so the store itself must be read.
@@ -262,12 +262,12 @@
 	}
 }
 
-bool StoreSync::acceptUpdate(Micros _asked, const ContentUpdate& _update)
+bool StoreSync::acceptUpdate(Micros _requestedAt, const ContentUpdate& _update)
 {
 	const auto& config = m_context.directory.config();
 	if (config && config->version == _update.configVersion)
 	{
-		m_context.directory.confirm(_asked - _update.age);
+		m_context.directory.confirm(_requestedAt - _update.age);
 	}
 	const bool applicable =
 		_update.since == m_context.content.revision || _update.revision <= m_context.content.revision;
@@ -280,12 +280,12 @@
 	}
 	if (_update.revision <= m_context.content.revision)
 	{
-		confirmUnchanged(_update.revision, _asked - _update.age);
+		confirmUnchanged(_update.revision, _requestedAt - _update.age);
 		return true;
 	}
 	StoreContent content = m_context.content;
 	applyUpdate(content, _update);
-	content.confirmed = _asked - _update.age;
+	content.confirmed = _requestedAt - _update.age;
 	apply(std::move(content), true);
 	return true;
 }
@@ -309,7 +309,7 @@
 		scheduleRead(kRetryMin);
 		return;
 	}
-	m_reader->read(m_context.storeContact.readTimeout(kReadIdleTimeout),
+	m_reader->read(m_context.storeReachability.readTimeout(kReadIdleTimeout),
 				   [self = shared_from_this()](std::optional<StoreContent> _content)
 				   { self->onRead(std::move(_content)); });
 }
--- a/src/gateway/storesync.h
+++ b/src/gateway/storesync.h
@@ -55,17 +55,17 @@
 	std::optional<std::string> relayToAsk() const;
 	void readFromRelayOrStore();
 	void askRelay(const std::string& _host);
-	void onRelayAnswer(Micros _asked, const std::optional<HttpAnswer>& _answer);
+	void onRelayAnswer(Micros _requestedAt, const std::optional<HttpAnswer>& _answer);
 	/// Asks the relay for its whole content. It is used if an update is not possible: the relay's history does not
 	/// reach back to this gateway's revision, or the update omits a large value.
 	void askRelayForContent();
-	void onRelayContent(Micros _asked, const std::optional<HttpAnswer>& _answer);
+	void onRelayContent(Micros _requestedAt, const std::optional<HttpAnswer>& _answer);
 	void scheduleRelay();
 	void recordRelayAnswer(bool _answered);
 	/// Records that this gateway, or one that it asked, had an answer of the store recently.
 	void onStoreReached(std::uint64_t _revision);
 	void confirmUnchanged(std::uint64_t _revision, Micros _confirmed);
-	bool acceptUpdate(Micros _asked, const ContentUpdate& _update);
+	bool acceptUpdate(Micros _requestedAt, const ContentUpdate& _update);
 	void readStore();
 	void onRead(std::optional<StoreContent> _content);
 	void onReadFailed();
@@ -75,8 +75,8 @@
 	RoutingConfigPtr parseConfig(const KvItem& _item);
 	void askPeers();
 	void askPeer(const std::string& _host, bool _fullContent);
-	void onPeerUpdate(Micros _asked, const std::string& _host, const std::optional<HttpAnswer>& _answer);
-	void onPeerContent(Micros _asked, const std::optional<HttpAnswer>& _answer);
+	void onPeerUpdate(Micros _requestedAt, const std::string& _host, const std::optional<HttpAnswer>& _answer);
+	void onPeerContent(Micros _requestedAt, const std::optional<HttpAnswer>& _answer);
 	void loadQuotaLevels(const KvItem& _item);
 	void loadUsageCounts(const KvItem& _item);
 	void scheduleAskPeers();
--- a/src/gateway/storesyncpeers.cpp
+++ b/src/gateway/storesyncpeers.cpp
@@ -58,10 +58,10 @@
 								  : std::string(kUpdatePath) + std::to_string(m_context.content.revision);
 	request.headers = {{"Connection", "close"}};
 	request.longest = kMaxReadDuration;
-	const Micros asked = monotonicNow();
+	const Micros requestedAt = monotonicNow();
 	m_peerChannel->call(
 		std::move(request), kPeerTimeout,
-		[self = shared_from_this(), asked, _host, _fullContent](const std::optional<HttpAnswer>& _answer)
+		[self = shared_from_this(), requestedAt, _host, _fullContent](const std::optional<HttpAnswer>& _answer)
 		{
 			if (self->m_closed)
 			{
@@ -70,18 +70,19 @@
 			if (_fullContent)
 			{
 				self->scheduleAskPeers();
-				self->onPeerContent(asked, _answer);
+				self->onPeerContent(requestedAt, _answer);
 				return;
 			}
-			self->onPeerUpdate(asked, _host, _answer);
+			self->onPeerUpdate(requestedAt, _host, _answer);
 		});
 }
 
-void StoreSync::onPeerUpdate(Micros _asked, const std::string& _host, const std::optional<HttpAnswer>& _answer)
+void StoreSync::onPeerUpdate(Micros _requestedAt, const std::string& _host,
+							 const std::optional<HttpAnswer>& _answer)
 {
 	const auto update = _answer && _answer->status == kOk ? decodeUpdate(_answer->body) : std::nullopt;
 	const bool tooOld = _answer && _answer->status == kNotFound;
-	if (tooOld || (update && !acceptUpdate(_asked, *update)))
+	if (tooOld || (update && !acceptUpdate(_requestedAt, *update)))
 	{
 		askPeer(_host, true);
 		return;
@@ -89,13 +90,13 @@
 	scheduleAskPeers();
 }
 
-void StoreSync::onPeerContent(Micros _asked, const std::optional<HttpAnswer>& _answer)
+void StoreSync::onPeerContent(Micros _requestedAt, const std::optional<HttpAnswer>& _answer)
 {
 	if (!_answer || _answer->status != kOk)
 	{
 		return;
 	}
-	std::optional<StoreContent> content = decodeContent(_answer->body, _asked);
+	std::optional<StoreContent> content = decodeContent(_answer->body, _requestedAt);
 	if (!content)
 	{
 		logEvent(LogLevel::Warning, "peer-content-refused", {});
