--- a/src/gateway/gatewaymetrics.cpp
+++ b/src/gateway/gatewaymetrics.cpp
@@ -124,9 +124,9 @@
 	record(m_queueTimes, _service, _waited);
 }
 
-void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, ListingState _standing)
+void GatewayMetrics::onSent(const std::string& _service, Micros _listAge, ListingState _listingState)
 {
-	++m_sends[_standing];
+	++m_sends[_listingState];
 	record(m_listAges, _service, _listAge);
 }
 
