--- a/src/daemon/entryapp.cpp
+++ b/src/daemon/entryapp.cpp
@@ -16,11 +16,11 @@
 {
 namespace
 {
-constexpr std::chrono::milliseconds kTick{5};
-constexpr Micros kTickSpan = 5 * kMillisecond;
-constexpr std::size_t kBatch = 256; ///< Events between two looks at the clock.
-constexpr std::size_t kPeerBodyBytes = 16u << 20;
-constexpr Micros kLoadPollSpan = 500 * kMillisecond;
+constexpr std::chrono::milliseconds kWaitSpan{5};
+constexpr Micros kTickInterval = 5 * kMillisecond;
+constexpr std::size_t kMaxBatchEvents = 256; ///< Maximum events between two checks of the tick timer.
+constexpr std::size_t kMaxPeerBodyBytes = 16u << 20;
+constexpr Micros kLoadPollInterval = 500 * kMillisecond;
 
 EntrySettings coreSettings(const EntryOptions& _options, const EntryRef& _self)
 {
@@ -36,15 +36,15 @@
 EntryApp::EntryApp(EntryOptions _options)
 	: m_options(std::move(_options)), m_self{m_options.id, newIncarnation()},
 	  m_core(coreSettings(m_options, m_self)),
-	  m_callerSide(m_self, m_facts, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
-	  m_backendSide(m_backendLoop, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
+	  m_callerAdapter(m_self, m_entryStatus, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
+	  m_backendAdapter(m_backendLoop, [this](Event _event) { return m_queue.submit(std::move(_event)); }),
 	  m_callerServer(m_callerLoop,
 					 HttpServerHandlers{[this](ExchangeId _id, HttpRequest&& _request)
-										{ m_callerSide.onRequest(_id, std::move(_request)); },
-										[this](ExchangeId _id) { m_callerSide.onGone(_id); },
+										{ m_callerAdapter.onRequest(_id, std::move(_request)); },
+										[this](ExchangeId _id) { m_callerAdapter.onDisconnected(_id); },
 										[this](Failure _failure, const std::string& _detail)
 										{
-											return m_callerSide.onMalformed(_failure, _detail);
+											return m_callerAdapter.onMalformed(_failure, _detail);
 										}},
 					 limits::kRequestBodyBytes),
 	  m_internalServer(m_internalLoop,
@@ -55,7 +55,7 @@
 										  {
 											  return HttpAnswer{failureInfo(_failure).status, {}, _detail};
 										  }},
-					   kPeerBodyBytes),
+					   kMaxPeerBodyBytes),
 	  m_peerClient(m_internalLoop,
 				   HttpClientHandlers{[](std::uint64_t, unsigned) {}, [](std::uint64_t, const std::string&) {},
 									  [](std::uint64_t, const HttpAnswer&) {},
@@ -69,22 +69,22 @@
 			 {"state",
 			  [this](const std::string&)
 			  {
-				  return m_queue.ask([](const EntryCore& _core)
-									 { return dumpEntry(_core, monotonicNow()).dump(); });
+				  return m_queue.query([](const EntryCore& _core)
+									   { return dumpEntry(_core, monotonicNow()).dump(); });
 			  }},
 			 {"explain",
 			  [this](const std::string& _id)
 			  {
 				  const RequestId request = readRequestName(_id).second;
-				  return m_queue.ask([request](const EntryCore& _core)
-									 { return explainRequest(_core, request).value_or(Json()).dump(); });
+				  return m_queue.query([request](const EntryCore& _core)
+									   { return explainRequest(_core, request).value_or(Json()).dump(); });
 			  }}}),
 	  m_toCallers(m_callerLoop,
 				  [this](std::vector<std::unique_ptr<Action>>& _batch)
 				  {
 					  for (const auto& action : _batch)
 					  {
-						  m_callerSide.apply(*action);
+						  m_callerAdapter.apply(*action);
 					  }
 				  }),
 	  m_toBackends(m_backendLoop,
@@ -92,12 +92,12 @@
 				   {
 					   for (const auto& action : _batch)
 					   {
-						   m_backendSide.apply(*action, monotonicNow());
+						   m_backendAdapter.apply(*action, monotonicNow());
 					   }
 				   }),
 	  m_toPeers(m_internalLoop, [this](std::vector<std::unique_ptr<Action>>& _batch) { sendPeers(_batch); })
 {
-	m_callerSide.setServer(m_callerServer);
+	m_callerAdapter.setServer(m_callerServer);
 }
 
 EntryApp::~EntryApp()
@@ -139,10 +139,10 @@
 
 void EntryApp::linger(Micros _span) const
 {
-	const Micros until = monotonicNow() + _span;
-	while (0 < m_callerServer.connections() && monotonicNow() < until)
+	const Micros deadline = monotonicNow() + _span;
+	while (0 < m_callerServer.connections() && monotonicNow() < deadline)
 	{
-		std::this_thread::sleep_for(kTick);
+		std::this_thread::sleep_for(kWaitSpan);
 	}
 }
 
@@ -152,7 +152,7 @@
 	{
 		return;
 	}
-	m_ending = true;
+	m_isShuttingDown = true;
 	m_queue.wake();
 	m_coreThread.join();
 	m_callerLoop.shutdown();
@@ -174,21 +174,21 @@
 {
 	Micros nextTick = 0;
 	Actions actions;
-	while (!m_ending)
+	while (!m_isShuttingDown)
 	{
-		const std::size_t taken =
-			m_queue.drain(m_core, kBatch, [&](Event _event) { handle(std::move(_event), actions); });
+		const std::size_t processed =
+			m_queue.drain(m_core, kMaxBatchEvents, [&](Event _event) { handle(std::move(_event), actions); });
 		const Micros now = monotonicNow();
 		if (now >= nextTick)
 		{
-			nextTick = now + kTickSpan;
+			nextTick = now + kTickInterval;
 			m_core.handle(Tick{}, now, actions);
 			publish();
 		}
 		route(actions);
-		if (0 == taken)
+		if (0 == processed)
 		{
-			m_queue.wait(kTick);
+			m_queue.wait(kWaitSpan);
 		}
 	}
 }
@@ -241,8 +241,8 @@
 	reported.stopping = m_core.stopping();
 	reported.drained = m_core.drained();
 	std::string text = toJson(reported).dump();
-	m_facts.healthy = m_core.healthy();
-	m_facts.rosterVersion = reported.versions.roster;
+	m_entryStatus.healthy = m_core.healthy();
+	m_entryStatus.rosterVersion = reported.versions.roster;
 	const std::lock_guard lock(m_reportMutex);
 	if (text == m_report)
 	{
@@ -288,7 +288,7 @@
 	}
 	if (!json.empty() && !m_queue.submit(std::move(arrived)))
 	{
-		throw Error(Failure::Overloaded, "the decision thread has too much to do");
+		throw Error(Failure::Overloaded, "the decision thread is overloaded");
 	}
 	return report();
 }
@@ -315,11 +315,12 @@
 		PeerEnvelope envelope = decodeEnvelope(_request.body);
 		if (envelope.to != m_self)
 		{
-			return HttpAnswer{410, {}, "another run of this entry was meant\n"};
+			return HttpAnswer{410, {}, "the message is for another incarnation\n"};
 		}
 		for (PeerMessage& message : envelope.messages)
 		{
-			m_queue.submit(PeerArrived{envelope.from, std::move(message)}); // A lost one is sent again.
+			// The sender repeats a message that does not fit into the ring.
+			m_queue.submit(PeerArrived{envelope.from, std::move(message)});
 		}
 		return HttpAnswer{204, {}, {}};
 	}
@@ -330,12 +331,12 @@
 	if ("GET" == _request.method && "/debug/state" == _request.target)
 	{
 		const std::string text =
-			m_queue.ask([](const EntryCore& _core) { return dumpEntry(_core, monotonicNow()).dump(2) + "\n"; });
+			m_queue.query([](const EntryCore& _core) { return dumpEntry(_core, monotonicNow()).dump(2) + "\n"; });
 		return HttpAnswer{200, {{"Content-Type", "application/json"}}, text};
 	}
 	if ("GET" == _request.method && "/metrics" == _request.target)
 	{
-		const std::string text = m_queue.ask([](const EntryCore& _core) { return metricsOf(_core); });
+		const std::string text = m_queue.query([](const EntryCore& _core) { return formatEntryMetrics(_core); });
 		return HttpAnswer{200, {{"Content-Type", "text/plain; version=0.0.4"}}, text};
 	}
 	throw Error(Failure::UnknownService, "nothing is served at " + _request.target);
@@ -372,9 +373,9 @@
 		const std::lock_guard lock(m_reportMutex);
 		targets = m_loadTargets;
 	}
-	m_backendSide.retrySubmits();
-	m_backendSide.pollLoad(targets);
-	m_backendLoop.after(kLoadPollSpan, [this] { pollLoad(); });
+	m_backendAdapter.retrySubmits();
+	m_backendAdapter.pollLoad(targets);
+	m_backendLoop.after(kLoadPollInterval, [this] { pollLoad(); });
 }
 
 } // namespace beacongate
--- a/src/gateway/ownanswers.cpp
+++ b/src/gateway/erroranswers.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-#include "gateway/ownanswers.h"
+#include "gateway/erroranswers.h"
 
 #include "protocol/json.h"
 
@@ -19,8 +19,8 @@
 }
 } // namespace
 
-HttpAnswer makeOwnAnswer(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter,
-						 HttpHeaders _headers)
+HttpAnswer makeErrorAnswer(unsigned _status, Failure _failure, const std::string& _detail, Micros _retryAfter,
+						   HttpHeaders _headers)
 {
 	HttpAnswer answer;
 	answer.status = _status;
