--- a/include/beacongate/config.h
+++ b/include/beacongate/config.h
@@ -16,7 +16,7 @@
 
 namespace beacongate
 {
-/// Where a process listens: an IP number and a TCP port.
+/// IP address and TCP port on which a process listens.
 struct Address
 {
 	std::string host;
@@ -29,15 +29,15 @@
 struct TeamConfig
 {
 	std::string name;
-	std::string token;   ///< Bearer token that names the team.
-	double weight = 1.0; ///< Share under contention, larger is more.
+	std::string token;   ///< Bearer token that identifies the team.
+	double weight = 1.0; ///< Relative share while requests of several teams are queued.
 	std::uint32_t maxQueued = limits::kDefaultTeamQueue;
 };
 
-/// What a service's backend servers speak.
+/// Protocol that a service's backend servers speak.
 enum class ServiceKind
 {
-	Model, ///< Engine with OpenAI-style streaming.
+	Model, ///< Model engine with OpenAI-style streaming.
 	Plain, ///< Any HTTP service.
 };
 
@@ -46,7 +46,7 @@
 {
 	std::string name;
 	ServiceKind kind = ServiceKind::Plain;
-	bool repeatable = false; ///< Whether a call may be sent a second time.
+	bool repeatable = false; ///< Whether a request may be sent again after it may have run.
 	Micros targetFirstToken = 1500 * kMillisecond;
 };
 
@@ -58,9 +58,9 @@
 	Address address;
 	std::string vm;
 	std::string dataCentre;
-	std::uint32_t slots = 8;    ///< Requests that it is given at once.
-	bool drained = false;       ///< Operators took it out: no new work.
-	bool checksFencing = false; ///< Whether it checks an order's fencing token.
+	std::uint32_t slots = 8;    ///< Concurrent attempts that one entry runs on it.
+	bool drained = false;       ///< Taken out of service by operators; it gets no new requests.
+	bool checksFencing = false; ///< Whether it checks the fencing token of a leader's order.
 };
 
 /// One version of the whole configuration.
@@ -71,7 +71,7 @@
 	std::vector<ServiceConfig> services;
 	std::vector<BackendConfig> backends;
 
-	/// @returns the team whose bearer token this is, or nullptr.
+	/// @returns the team with that bearer token, or nullptr.
 	const TeamConfig* findTeamByToken(std::string_view _token) const;
 
 	/// @returns the service of that name, or nullptr.
--- a/include/beacongate/errors.h
+++ b/include/beacongate/errors.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Every failure that a caller or an operator can be told, as a type.
+/// Failure codes reported to callers and operators, and the exception that carries them.
 
 #ifndef BEACONGATE_ERRORS_H
 #define BEACONGATE_ERRORS_H
@@ -15,7 +15,7 @@
 
 namespace beacongate
 {
-/// Names a failure; failureInfo() gives its HTTP status, problem type and outcome.
+/// Identifies a failure; failureInfo() returns its HTTP status, problem type and outcome.
 enum class Failure
 {
 	MalformedRequest,
@@ -54,23 +54,23 @@
 	Internal,
 };
 
-/// What is fixed about a failure.
+/// Fixed properties of a failure.
 struct FailureInfo
 {
 	std::string_view type; ///< Last part of the problem type, for example "queue-full".
 	unsigned status;       ///< HTTP status.
-	Outcome outcome;       ///< Outcome told to the caller.
+	Outcome outcome;       ///< Outcome reported to the caller.
 };
 
-/// @returns the fixed facts of a failure.
+/// @returns the fixed properties of a failure.
 FailureInfo failureInfo(Failure _failure);
 
-/// The exception of this project.
+/// Exception that carries a Failure.
 class Error : public std::runtime_error
 {
 public:
 	/// @param[in] _failure What failed.
-	/// @param[in] _detail One line for a person: what is wrong and where.
+	/// @param[in] _detail One line for a human reader: what is wrong and where.
 	Error(Failure _failure, const std::string& _detail) : std::runtime_error(_detail), m_failure(_failure)
 	{
 	}
--- a/include/beacongate/routing.h
+++ b/include/beacongate/routing.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a gateway routes by: routes, services, teams' keys and quotas, backend servers.
+/// Routing configuration of a gateway: routes, services, the teams' keys and quotas, and backend server records.
 
 #ifndef BEACONGATE_ROUTING_H
 #define BEACONGATE_ROUTING_H
@@ -21,12 +21,12 @@
 
 namespace beacongate
 {
-/// What may be repeated on a route, and what its answers look like.
+/// Whether requests of a route may be repeated, and the form of its answers.
 enum class RouteKind
 {
-	Safe,   ///< A call that may run more than once.
-	Unsafe, ///< A call that runs at most once.
-	Stream, ///< An event stream; runs at most once unless the route is resumable.
+	Safe,   ///< A request may run more than once.
+	Unsafe, ///< A request runs at most once.
+	Stream, ///< The answer is an event stream; a request runs at most once unless the route is resumable.
 };
 
 /// One of the services that share a route's traffic.
@@ -43,23 +43,23 @@
 	std::string host;       ///< Lower case, without a port.
 	std::string pathPrefix; ///< Begins and ends with a slash.
 	RouteKind kind = RouteKind::Unsafe;
-	Micros timeout = 0;       ///< Longest time that a request is held.
-	Micros targetLatency = 0; ///< Time within which an answer is worth most.
-	Micros targetGap = 0;     ///< Longest pause between events; 0 where none is given.
+	Micros timeout = 0;       ///< Deadline of a request.
+	Micros targetLatency = 0; ///< Target latency of an answer.
+	Micros targetGap = 0;     ///< Target for the longest gap between events; 0 for none.
 	unsigned priority = 5;    ///< 0 is the most urgent.
 	std::vector<WeightedService> split;
-	unsigned maxAttempts = 1; ///< Backend servers that one request may be sent to.
+	unsigned maxAttempts = 1; ///< Largest number of attempts for one request.
 	bool allowAnonymous = false;
-	bool resumable = false; ///< A stream may go on at another backend server.
+	bool resumable = false; ///< A stream may be resumed on another backend server.
 
-	/// @returns whether a request may be sent again after it may have run.
+	/// @returns true if a request may be sent again after it may have run.
 	bool repeatable() const
 	{
 		return kind == RouteKind::Safe || (kind == RouteKind::Stream && resumable);
 	}
 };
 
-/// What a service's model engines can do.
+/// Capabilities of a service's model engines.
 struct EngineSettings
 {
 	unsigned slots = 0;
@@ -68,14 +68,14 @@
 	bool keepsBackups = false;
 };
 
-/// How the capacity of a service is ordered.
+/// Bounds and prices by which the capacity of a service is ordered.
 struct ScalingSettings
 {
 	unsigned minimum = 0; ///< Of each data centre.
 	unsigned maximum = 0; ///< Of each data centre.
 	Micros bootTime = 0;
-	double spotPrice = 1.0;                   ///< Against an on-demand backend server.
-	std::map<std::string, double> zonePrices; ///< By data centre.
+	double spotPrice = 1.0;                   ///< Price of a spot backend server relative to an on-demand one.
+	std::map<std::string, double> zonePrices; ///< Relative price, by data centre.
 };
 
 /// A service whose backend servers register themselves.
@@ -93,14 +93,14 @@
 {
 	std::string name;
 	std::vector<std::string> keys;
-	std::optional<unsigned> priority; ///< Goes before the route's.
+	std::optional<unsigned> priority; ///< Overrides the priority of the route.
 	bool countsTokens = false;        ///< The quota counts tokens, not requests.
-	std::uint64_t plainTokens = 0;    ///< Tokens of a request that names none.
-	double ratePerSecond = 0.0;       ///< 0 is no limit.
+	std::uint64_t plainTokens = 0;    ///< Tokens charged for a request that does not state a number.
+	double ratePerSecond = 0.0;       ///< 0 for no limit.
 	double burst = 0.0;
 };
 
-/// What a caller may send, and how long it may take.
+/// Size limits and timeouts of callers' requests.
 struct RequestLimits
 {
 	std::size_t headerBytes = limits::kRequestHeaderBytes;
@@ -109,7 +109,7 @@
 	Micros idleTimeout = limits::kDefaultIdleTimeout;
 };
 
-/// One version of everything that operators decide about routing. Immutable once it is indexed.
+/// One version of the operators' routing configuration. It is immutable once buildIndex() has run.
 struct RoutingConfig
 {
 	std::uint64_t version = 0;
@@ -121,10 +121,10 @@
 	/// Builds the indices behind the find functions.
 	void buildIndex();
 
-	/// @returns the route with the longest prefix of the path, or nullptr.
+	/// @returns the route of the host with the longest matching path prefix, or nullptr.
 	const Route* findRoute(std::string_view _host, std::string_view _path) const;
 
-	/// @returns the team that holds a key, or nullptr.
+	/// @returns the team that owns the key, or nullptr.
 	const TeamAccess* findTeamByKey(std::string_view _key) const;
 
 	/// @returns the service of that name, or nullptr.
@@ -137,31 +137,31 @@
 
 using RoutingConfigPtr = std::shared_ptr<const RoutingConfig>;
 
-/// Names one incarnation of a backend server. A server may start again under its id; it then holds and knows
-/// nothing of before, so that nothing that is known of an earlier incarnation says anything of a later one.
+/// Identifies one incarnation of a backend server. A server that restarts under the same id has lost its state, so
+/// nothing recorded about an earlier incarnation applies to a later one.
 struct BackendIdentity
 {
 	std::string id;
-	std::uint64_t born = 0; ///< Unix milliseconds of its start; 0 where it does not say.
+	std::uint64_t born = 0; ///< Start time in Unix milliseconds; 0 where it is not given.
 	auto operator<=>(const BackendIdentity&) const = default;
 	bool operator==(const BackendIdentity&) const = default;
 };
 
-/// What a backend server says of itself in the store.
+/// Record that a backend server registers in the store.
 struct BackendRecord
 {
 	std::string id;
-	std::uint64_t born = 0; ///< Unix milliseconds of the incarnation's start; 0 where it does not say.
+	std::uint64_t born = 0; ///< Start time of the incarnation in Unix milliseconds; 0 where it is not given.
 	std::string service;
 	Address address;
 	std::string dataCentre;
 	unsigned slots = 1;
 	bool draining = false;
-	bool spot = false;            ///< May be reclaimed.
-	std::optional<Micros> leaves; ///< Span until it is gone, as of the record.
+	bool spot = false;            ///< Spot instance that the platform may reclaim.
+	std::optional<Micros> leaves; ///< Time until it is terminated, as of the record.
 	Micros coldRemaining = 0;
 
-	/// @returns the incarnation that the record is of.
+	/// @returns the incarnation that the record describes.
 	BackendIdentity identity() const
 	{
 		return {id, born};
--- a/include/beacongate/types.h
+++ b/include/beacongate/types.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Identifiers, handles and small enumerations that every layer shares.
+/// Identifiers, handles and small enumerations shared by all layers.
 
 #ifndef BEACONGATE_TYPES_H
 #define BEACONGATE_TYPES_H
@@ -15,26 +15,26 @@
 
 namespace beacongate
 {
-/// A point in time, or a span, in microseconds. The clock is the caller's: the
-/// coordination layer only compares and subtracts.
+/// A point in time or a duration, in microseconds. The caller chooses the clock; the coordination
+/// layer only compares and subtracts.
 using Micros = std::int64_t;
 
 inline constexpr Micros kMillisecond = 1000;
 inline constexpr Micros kSecond = 1000 * kMillisecond;
 
-/// @returns a span in seconds.
+/// @returns a duration in seconds.
 constexpr double secondsOf(Micros _span)
 {
 	return static_cast<double>(_span) / static_cast<double>(kSecond);
 }
 
-/// The "no deadline" value.
+/// Later than any point in time; as a deadline it means none.
 inline constexpr Micros kNever = std::numeric_limits<Micros>::max();
 
-/// Before anything that is remembered; differences to it do not overflow.
+/// Earlier than any recorded point in time; subtracting it from one does not overflow.
 inline constexpr Micros kLongAgo = -kNever / 2;
 
-/// Index that no table hands out.
+/// Index that refers to no row of any table.
 inline constexpr std::uint32_t kInvalidHandle = std::numeric_limits<std::uint32_t>::max();
 
 /// Refers to a backend server in a BackendTable.
@@ -58,23 +58,22 @@
 	auto operator<=>(const TeamHandle&) const = default;
 };
 
-/// @returns whether the handle refers to anything.
+/// @returns true if the handle refers to a row.
 template <typename Handle> constexpr bool isValid(Handle _handle)
 {
 	return kInvalidHandle != _handle.idx;
 }
 
-/// Number of one caller exchange (one HTTP request and its answer) at one entry.
+/// Id of one exchange with a caller (an HTTP request and its answer) at one entry.
 using ExchangeId = std::uint64_t;
 
-/// Number of a request at the entry that executes it; never used again by the same incarnation.
+/// Id of a request at the entry that executes it; never reused by the same incarnation.
 using RequestId = std::uint64_t;
 
-/// Number of one try of a request at one backend server; unique per entry incarnation.
+/// Id of one attempt of a request at one backend server; unique per entry incarnation.
 using AttemptId = std::uint64_t;
 
-/// Names one run of an entry process. A restarted entry has the same id and a
-/// larger incarnation.
+/// Identifies one run of an entry process. A restarted entry has the same id and a larger incarnation.
 struct EntryRef
 {
 	std::string id;
@@ -83,10 +82,10 @@
 	bool operator==(const EntryRef&) const = default;
 };
 
-/// What a caller learns about a request that has its final answer.
+/// Outcome of a request that the caller is told with its final answer.
 enum class Outcome
 {
-	Done,    ///< It ran and this is its answer.
+	Done,    ///< It ran; the answer is the result.
 	NotRun,  ///< It did not run.
 	Unknown, ///< It may have run; it will not be run again.
 };
