--- a/src/state/backends.cpp
+++ b/src/state/backends.cpp
@@ -44,7 +44,7 @@
 
 std::vector<BackendHandle> BackendTable::markLeaving(const VmView& _vms, Micros _now)
 {
-	std::vector<BackendHandle> turned;
+	std::vector<BackendHandle> changed;
 	for (std::uint32_t ii = 0; ii < m_rows.size(); ++ii)
 	{
 		Backend& row = m_rows[ii];
@@ -56,10 +56,10 @@
 			row.leavesAt = _vms.leaving.end() == notice ? _now : _now + notice->second;
 			row.leaving = true;
 			row.gone = gone;
-			turned.push_back(BackendHandle{ii});
+			changed.push_back(BackendHandle{ii});
 		}
 	}
-	return turned;
+	return changed;
 }
 
 const std::vector<BackendHandle>& BackendTable::ofService(ServiceHandle _service) const
--- a/src/state/backends.h
+++ b/src/state/backends.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The backend servers that an entry knows, with what it has sent to each.
+/// Table of the backend servers that an entry knows, with the load that it has placed on each.
 
 #ifndef BEACONGATE_STATE_BACKENDS_H
 #define BEACONGATE_STATE_BACKENDS_H
@@ -17,45 +17,44 @@
 
 namespace beacongate
 {
-/// Last load report of a backend server; it lags.
+/// Last load report of a backend server. It lags behind the actual load.
 struct LoadReport
 {
 	std::uint64_t queuedTokens = 0; ///< Prompt tokens waiting for prefill.
 	std::uint32_t running = 0;      ///< Requests in its batch.
-	Micros at = 0;                  ///< When the report was made, on this entry's clock.
+	Micros at = 0;                  ///< Time of the report, on this entry's clock.
 };
 
-/// One backend server as this entry sees it.
+/// State of one backend server at this entry.
 struct Backend
 {
 	BackendConfig config;
 	ServiceHandle service;
-	bool configured = false;         ///< In the configuration in force.
-	bool leaving = false;            ///< Gets no new work, for ever.
-	bool gone = false;               ///< Its VM ended; nothing on it will answer.
-	Micros leavesAt = kNever;        ///< When its notice ends.
-	Micros backoffUntil = 0;         ///< Not tried before this time after a failure.
+	bool configured = false;         ///< Whether the configuration in force contains it.
+	bool leaving = false;            ///< It gets no new requests and does not return.
+	bool gone = false;               ///< Its VM has terminated; its attempts get no answers.
+	Micros leavesAt = kNever;        ///< End of its termination notice.
+	Micros backoffUntil = 0;         ///< No attempt is sent before this time, after a failure.
 	std::uint32_t failures = 0;      ///< Consecutive failed attempts.
-	std::uint32_t active = 0;        ///< Attempts this entry has running on it.
-	std::uint64_t prefillTokens = 0; ///< Prompt tokens sent whose first token has not come.
+	std::uint32_t active = 0;        ///< Attempts of this entry that are in flight there.
+	std::uint64_t prefillTokens = 0; ///< Prompt tokens of attempts that have not returned a first token.
 	LoadReport report;
 	PrefixIndex prefixes;
 };
 
-/// Table of backend servers. A handle stays valid for the life of the table; an id that
-/// leaves the configuration keeps its row until its last attempt ended.
+/// Table of backend servers. Rows are never removed, so a handle stays valid for the lifetime of the table.
 class BackendTable
 {
 public:
-	/// Brings the rows in line with a configuration.
-	/// @param[in] _catalog Has already taken over the same configuration.
+	/// Updates the rows to a configuration.
+	/// @param[in] _catalog Catalog to which the same configuration was applied before.
 	void apply(const Config& _config, const Catalog& _catalog);
 
-	/// Marks backend servers on leaving or gone VMs.
-	/// @returns the handles that turned to leaving or gone just now.
+	/// Marks the backend servers on leaving or terminated VMs.
+	/// @returns the handles whose state this call changed to leaving or gone.
 	std::vector<BackendHandle> markLeaving(const VmView& _vms, Micros _now);
 
-	/// @returns rows of one service that are configured, in table order.
+	/// @returns the configured backend servers of one service, in configuration order.
 	const std::vector<BackendHandle>& ofService(ServiceHandle _service) const;
 
 	/// @returns the row; the handle has to be valid.
@@ -68,7 +67,7 @@
 	/// @returns number of rows, configured or not.
 	std::size_t size() const;
 
-	/// @returns whether new work may be sent there at this time.
+	/// @returns true if new attempts may be sent there at this time.
 	static bool takesWork(const Backend& _backend, Micros _now);
 
 private:
--- a/src/state/catalog.cpp
+++ b/src/state/catalog.cpp
@@ -7,7 +7,7 @@
 {
 namespace
 {
-template <typename Rows, typename Items> void takeOver(Rows& _rows, const Items& _items)
+template <typename Rows, typename Items> void updateRows(Rows& _rows, const Items& _items)
 {
 	for (auto& row : _rows)
 	{
@@ -43,8 +43,8 @@
 
 void Catalog::apply(const Config& _config)
 {
-	takeOver(m_teams, _config.teams);
-	takeOver(m_services, _config.services);
+	updateRows(m_teams, _config.teams);
+	updateRows(m_services, _config.services);
 }
 
 TeamHandle Catalog::findTeamByToken(std::string_view _token) const
--- a/src/state/catalog.h
+++ b/src/state/catalog.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Teams and services with handles that outlive configuration changes.
+/// Table of teams and services. Their handles stay valid across configuration changes.
 
 #ifndef BEACONGATE_STATE_CATALOG_H
 #define BEACONGATE_STATE_CATALOG_H
@@ -14,26 +14,26 @@
 
 namespace beacongate
 {
-/// A team and whether the configuration in force still has it.
+/// A team, and whether the configuration in force contains it.
 struct TeamRow
 {
 	TeamConfig config;
 	bool configured = false;
 };
 
-/// A service and whether the configuration in force still has it.
+/// A service, and whether the configuration in force contains it.
 struct ServiceRow
 {
 	ServiceConfig config;
 	bool configured = false;
 };
 
-/// Table of teams and services by name. Rows are never removed: queued requests of a team
-/// that was taken out of the configuration still end under its last settings.
+/// Table of teams and services by name. Rows are never removed: queued requests of a team that was
+/// removed from the configuration are still processed with its last settings.
 class Catalog
 {
 public:
-	/// Brings the rows in line with a configuration.
+	/// Updates the rows to a configuration.
 	void apply(const Config& _config);
 
 	/// @returns the configured team with that bearer token, or an invalid handle.
--- a/src/state/fleetview.h
+++ b/src/state/fleetview.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What one entry knows about configuration, roster and leaving VMs.
+/// View of configuration, roster and leaving VMs that a control passes to an entry.
 
 #ifndef BEACONGATE_STATE_FLEETVIEW_H
 #define BEACONGATE_STATE_FLEETVIEW_H
@@ -17,19 +17,19 @@
 
 namespace beacongate
 {
-/// VMs that are leaving or gone. A VM id never comes back, so two views merge by union
-/// in any order, and a late or repeated view changes nothing.
+/// VMs that are leaving or gone. A VM id is never reused, so views merge by union in any order, and a
+/// late or repeated view changes nothing.
 struct VmView
 {
-	std::map<std::string, Micros> leaving; ///< By VM id; the notice that was left when first seen.
+	std::map<std::string, Micros> leaving; ///< Remaining termination notice when first seen, by VM id.
 	std::set<std::string> gone;
 
-	/// Takes over everything that the other view knows.
-	/// @returns whether this view grew.
+	/// Adds the VMs of another view.
+	/// @returns true if this view gained a VM.
 	bool merge(const VmView& _other);
 };
 
-/// What a control hands to an entry. A part that is absent stays as it was.
+/// Snapshot that a control passes to an entry. A null pointer leaves that part unchanged.
 struct Snapshot
 {
 	std::shared_ptr<const Config> config;
--- a/src/state/prefixindex.h
+++ b/src/state/prefixindex.h
@@ -2,10 +2,10 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Which prompt prefixes a backend server probably has in its cache.
+/// Index of the prompt prefixes that a backend server probably has in its cache.
 ///
-/// A prompt is cut into blocks of limits::kPrefixBlockBytes. Each block is named by the
-/// hash of all bytes up to its end, so one set lookup per block finds the longest match.
+/// A prompt is split into blocks of limits::kPrefixBlockBytes. Each block is identified by the hash of
+/// all bytes up to its end, so one set lookup per block finds the longest match.
 /// As in "Radix prefix cache (block-granular, LRU leaf eviction, locks)", only whole
 /// blocks count and the block that holds the last prompt byte never does.
 
@@ -20,31 +20,31 @@
 
 namespace beacongate
 {
-/// Names of a prompt's usable blocks, first block first.
+/// Block hashes of a prompt, first block first.
 using BlockChain = std::vector<std::uint64_t>;
 
-/// @returns the names of all whole blocks that end before the last byte of the prompt.
+/// @returns the hashes of all whole blocks that end before the last byte of the prompt.
 BlockChain blockChain(std::string_view _prompt);
 
-/// Bounded set of block names of one backend server, least recently used out first.
+/// Bounded set of block hashes of one backend server, with least-recently-used eviction.
 class PrefixIndex
 {
 public:
-	/// @returns how many leading blocks of the chain are known.
+	/// @returns the number of leading blocks of the chain that are in the index.
 	std::size_t match(const BlockChain& _chain) const;
 
-	/// Notes that the backend server has computed these blocks.
+	/// Records that the backend server has computed these blocks.
 	void insert(const BlockChain& _chain);
 
-	/// Forgets blocks that the backend server says it evicted.
+	/// Removes blocks that the backend server reported as evicted.
 	void erase(const BlockChain& _blocks);
 
-	/// @returns number of blocks known.
+	/// @returns the number of blocks in the index.
 	std::size_t size() const;
 
 private:
 	using Recency = std::list<std::uint64_t>;
-	Recency m_recency; ///< Front is the most recent.
+	Recency m_recency; ///< Most recently used first.
 	std::unordered_map<std::uint64_t, Recency::iterator> m_blocks;
 };
 
--- a/src/state/roster.cpp
+++ b/src/state/roster.cpp
@@ -109,17 +109,17 @@
 bool mayHaveBeenHome(std::string_view _key, const LostMember& _lost, const Roster& _roster)
 {
 	const std::uint64_t lostWeight = rendezvousWeight(_key, _lost.entry);
-	const auto beats = [&](const RosterMember& _member)
+	const auto outweighs = [&](const RosterMember& _member)
 	{
-		const bool throughout = _member.joinedVersion <= _lost.joinedVersion;
-		return throughout && rendezvousWeight(_key, _member.entry) > lostWeight;
+		const bool presentThroughout = _member.joinedVersion <= _lost.joinedVersion;
+		return presentThroughout && rendezvousWeight(_key, _member.entry) > lostWeight;
 	};
-	return std::none_of(_roster.members.begin(), _roster.members.end(), beats);
+	return std::none_of(_roster.members.begin(), _roster.members.end(), outweighs);
 }
 
 namespace
 {
-/// A run that departed or was lost never comes back; only a newer one may join.
+/// A departed or lost run never returns; only a newer run of the entry may join.
 bool isNewRun(const Roster& _roster, const EntryRef& _entry)
 {
 	const auto older = [&](const EntryRef& _known)
@@ -164,7 +164,7 @@
 		removeRun(next, old.entry);
 		recordLost(next, old);
 	}
-	// A departed run whose successor answers at its address has ended without being struck off.
+	// A departed run whose successor uses its address has terminated without having been retired.
 	for (const DepartedMember& item : _roster.departed)
 	{
 		const RosterMember& old = item.member;
