--- a/src/coordination/controlcore.cpp
+++ b/src/coordination/controlcore.cpp
@@ -13,15 +13,15 @@
 {
 namespace
 {
-/// Controls that news is told to at once; with each of them doing the same, n controls
-/// know after about log(n) / log(1 + this) rounds.
-constexpr std::size_t kSpreadFanOut = 3;
-/// Lists that have to lack a VM before it counts as gone, since the list lags.
+/// Controls to which a change is sent at once. Each of them does the same, so n controls are reached
+/// after about log(n) / log(1 + kPropagationFanOut) rounds.
+constexpr std::size_t kPropagationFanOut = 3;
+/// Consecutive lists without a VM after which it counts as gone, since the list lags.
 constexpr unsigned kListsUntilGone = 3;
-/// How long an operator waits for the store.
-constexpr Micros kChangePatience = 30 * kSecond;
-/// A control that is not the leader reads the store itself after this silence of others.
-constexpr Micros kLeaderSilence = 5 * kSecond;
+/// Timeout of an operator's change.
+constexpr Micros kChangeTimeout = 30 * kSecond;
+/// A control that is not the leader reads the VM list itself after this long without an exchange.
+constexpr Micros kLeaderSilenceTimeout = 5 * kSecond;
 } // namespace
 
 std::uint64_t digestOf(const VmView& _vms)
@@ -62,20 +62,20 @@
 			exchangeWith(peer, VersionSet{~0ull, ~0ull, digestOf(m_vms)}, false);
 		}
 	}
-	const bool readsList = m_leader || m_now - m_lastHeard > kLeaderSilence;
+	const bool readsList = m_leader || m_now - m_lastExchangeAt > kLeaderSilenceTimeout;
 	if (m_settings.hasVmList && readsList && m_now >= m_vmListNext)
 	{
 		m_vmListNext = m_now + limits::kVmListInterval;
 		m_out->push_back(ReadVmList{});
 	}
-	// Not while a call for it is under way: its answer decides whether the change was made.
-	while (!m_changes.empty() && m_now >= m_changes.front().giveUp && !isChangeUnderWay())
+	// Not while a store operation for it is in flight, since its answer decides whether the change was made.
+	while (!m_changes.empty() && m_now >= m_changes.front().deadline && !isChangeInFlight())
 	{
-		const bool mayBeDone = m_changes.front().mayBeDone;
-		const Failure failure = mayBeDone ? Failure::OutcomeUnknown : Failure::StoreUnavailable;
+		const bool mayBeApplied = m_changes.front().mayBeApplied;
+		const Failure failure = mayBeApplied ? Failure::OutcomeUnknown : Failure::StoreUnavailable;
 		const std::string id = m_changes.front().request.changeId;
 		answerChange(false, failure,
-					 mayBeDone
+					 mayBeApplied
 						 ? "the store's answer was lost; look for change " + id + " in the configuration's history"
 						 : "the store did not answer; nothing was changed");
 	}
@@ -83,7 +83,7 @@
 
 void ControlCore::on(VmListArrived& _event)
 {
-	VmView news;
+	VmView update;
 	for (auto& [vm, missing] : m_vmMissing)
 	{
 		missing += 1;
@@ -93,7 +93,7 @@
 		m_vmMissing[item.id] = 0;
 		if (item.leaving)
 		{
-			news.leaving.emplace(item.id, item.notice);
+			update.leaving.emplace(item.id, item.notice);
 		}
 	}
 	for (auto it = m_vmMissing.begin(); m_vmMissing.end() != it;)
@@ -101,11 +101,11 @@
 		const bool gone = it->second >= kListsUntilGone;
 		if (gone)
 		{
-			news.gone.insert(it->first);
+			update.gone.insert(it->first);
 		}
 		it = gone ? m_vmMissing.erase(it) : std::next(it);
 	}
-	mergeVms(news);
+	mergeVms(update);
 }
 
 void ControlCore::on(EntryReported& _event)
@@ -127,68 +127,68 @@
 {
 	PendingChange change;
 	change.request = std::move(_event);
-	change.giveUp = m_now + kChangePatience;
+	change.deadline = m_now + kChangeTimeout;
 	m_changes.push_back(std::move(change));
 }
 
 void ControlCore::on(PeerExchange& _event)
 {
 	m_stats.exchanges += 1;
-	m_lastHeard = m_now;
-	bool news = false;
+	m_lastExchangeAt = m_now;
+	bool changed = false;
 	if (!_event.configText.empty())
 	{
-		news = adoptConfig(_event.configText) || news;
+		changed = adoptConfig(_event.configText) || changed;
 	}
 	if (!_event.rosterText.empty())
 	{
-		news = adoptRoster(_event.rosterText) || news;
+		changed = adoptRoster(_event.rosterText) || changed;
 	}
 	if (_event.vms.has_value())
 	{
 		mergeVms(*_event.vms);
 	}
 	const VersionSet own = versions();
-	const bool theyLack = own.config > _event.versions.config || own.roster > _event.versions.roster ||
-						  own.vmDigest != _event.versions.vmDigest;
-	const bool weLack = own.config < _event.versions.config || own.roster < _event.versions.roster;
-	if (theyLack || (weLack && !_event.isReply))
+	const bool peerIsBehind = own.config > _event.versions.config || own.roster > _event.versions.roster ||
+							  own.vmDigest != _event.versions.vmDigest;
+	const bool selfIsBehind = own.config < _event.versions.config || own.roster < _event.versions.roster;
+	if (peerIsBehind || (selfIsBehind && !_event.isReply))
 	{
 		exchangeWith(_event.from, _event.versions, true);
 	}
-	if (news)
+	if (changed)
 	{
-		spread();
+		propagate();
 	}
 }
 
-void ControlCore::exchangeWith(const Address& _to, const VersionSet& _theirs, bool _reply)
+void ControlCore::exchangeWith(const Address& _to, const VersionSet& _peerVersions, bool _reply)
 {
 	PeerExchange exchange;
 	exchange.from = m_settings.controlAddress;
 	exchange.versions = versions();
 	exchange.isReply = _reply;
-	if (exchange.versions.config > _theirs.config)
+	if (exchange.versions.config > _peerVersions.config)
 	{
 		exchange.configText = m_config.text;
 	}
-	if (exchange.versions.roster > _theirs.roster)
+	if (exchange.versions.roster > _peerVersions.roster)
 	{
 		exchange.rosterText = m_roster.text;
 	}
-	if (exchange.versions.vmDigest != _theirs.vmDigest)
+	if (exchange.versions.vmDigest != _peerVersions.vmDigest)
 	{
 		exchange.vms = m_vms;
 	}
 	m_out->push_back(SendExchange{_to, std::move(exchange)});
 }
 
-void ControlCore::spread()
+void ControlCore::propagate()
 {
 	syncEntry();
-	for (const Address& peer : pickPeers(kSpreadFanOut))
+	for (const Address& peer : pickPeers(kPropagationFanOut))
 	{
-		// The other side answers with what it has and gets what it lacks.
+		// The peer answers with its versions and then gets the documents that it lacks.
 		exchangeWith(peer, VersionSet{~0ull, ~0ull, digestOf(m_vms)}, false);
 	}
 }
@@ -261,7 +261,7 @@
 	{
 		return false;
 	}
-	spread();
+	propagate();
 	return true;
 }
 
--- a/src/coordination/controlcore.h
+++ b/src/coordination/controlcore.h
@@ -2,11 +2,10 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The control's decisions: configuration, roster, leadership of a data centre, VM list.
+/// Decision core of a control: configuration, roster, leadership of a data centre, VM list.
 ///
-/// Deterministic like EntryCore. One operation on the store is under way at a time. What
-/// the store says counts only if it is newer than what this control has; nothing that is
-/// merely remembered is ever written back.
+/// Deterministic like EntryCore. One store operation is in flight at a time. A document of the store is
+/// adopted only if it is newer than the one in force, and cached documents are never written back.
 
 #ifndef BEACONGATE_COORDINATION_CONTROLCORE_H
 #define BEACONGATE_COORDINATION_CONTROLCORE_H
@@ -27,7 +26,7 @@
 
 namespace beacongate
 {
-/// A configuration document, read and checked.
+/// A configuration document, parsed and validated.
 struct ConfigDoc
 {
 	std::string text;
@@ -35,19 +34,19 @@
 	std::vector<std::string> history; ///< Ids of the latest changes, newest last.
 };
 
-/// A roster with the text that the store holds.
+/// A roster and its stored text.
 struct RosterDoc
 {
 	std::string text;
 	std::shared_ptr<const Roster> roster;
 };
 
-/// Reads and writes documents; given by the protocol layer, since this layer knows no JSON.
+/// Reads and writes documents. The protocol layer provides it, since this layer does not depend on JSON.
 struct DocumentCodec
 {
 	/// @throws Error ConfigInvalid
 	std::function<ConfigDoc(const std::string& _text)> readConfig;
-	/// Applies an operator's statement and stamps version and change id.
+	/// Applies an operator's statement and sets the version and the change id.
 	/// @throws Error ConfigInvalid or QueryInvalid
 	std::function<ConfigDoc(const std::string& _baseText, const std::string& _statement,
 							const std::string& _changeId)>
@@ -57,49 +56,49 @@
 	std::function<std::string(const Roster& _roster)> writeRoster;
 };
 
-/// What a control is started with.
+/// Settings of a control.
 struct ControlSettings
 {
-	std::string id; ///< Id of the entry beside it.
+	std::string id; ///< Id of the local entry, which runs next to this control.
 	std::string region;
 	std::string dataCentre;
 	std::string vm;
-	Address peerAddress;        ///< The entry's, for the roster.
-	Address controlAddress;     ///< Its own, for the roster.
-	std::vector<Address> seeds; ///< Controls to ask before there is a roster.
+	Address peerAddress;        ///< Address of the local entry, for the roster.
+	Address controlAddress;     ///< Address of this control, for the roster.
+	std::vector<Address> seeds; ///< Controls to contact in addition to those of the roster.
 	bool hasVmList = false;
 	std::uint64_t seed = 1;
 };
 
-/// How an operation on the store ended.
+/// Result of a store operation.
 enum class StoreStatus
 {
 	Ok,
 	CompareFailed, ///< The value had changed; nothing was written.
-	Failed,        ///< Nothing was done.
-	Lost,          ///< No answer: it may have been done.
+	Failed,        ///< The operation was not performed.
+	Lost,          ///< There was no answer; the operation may have been performed.
 };
 
-/// A value as the store gave it.
+/// A value read from the store.
 struct StoreValue
 {
 	bool exists = false;
 	std::string text;
-	std::int64_t modRevision = 0; ///< 0 where it does not exist.
+	std::int64_t modRevision = 0; ///< 0 if the key does not exist.
 	std::int64_t createRevision = 0;
 };
 
-/// The store answered, or did not.
+/// A store operation ended.
 struct StoreAnswered
 {
 	std::uint64_t op = 0;
 	StoreStatus status = StoreStatus::Failed;
-	StoreValue value;          ///< Of a get, or of a swap whose comparison failed.
-	std::int64_t revision = 0; ///< Of a swap that succeeded.
-	std::int64_t lease = 0;    ///< Of a lease grant.
+	StoreValue value;          ///< Result of a get, or of a swap whose comparison failed.
+	std::int64_t revision = 0; ///< Revision of a successful swap.
+	std::int64_t lease = 0;    ///< Id of the lease that was granted or renewed.
 };
 
-/// What another control, or the entry beside, has.
+/// Versions held by a control or an entry.
 struct VersionSet
 {
 	std::uint64_t config = 0;
@@ -108,36 +107,36 @@
 	auto operator<=>(const VersionSet&) const = default;
 };
 
-/// Another control told what it has, and sent what this one lacked.
+/// Another control sent its versions, and the documents that this one lacked.
 struct PeerExchange
 {
 	Address from;
 	VersionSet versions;
-	std::string configText; ///< Empty where not sent.
+	std::string configText; ///< Empty if not sent.
 	std::string rosterText;
 	std::optional<VmView> vms;
-	bool isReply = false; ///< It answers an exchange of ours and gets no reply.
+	bool isReply = false; ///< It answers an exchange of the receiver.
 };
 
-/// The entry beside told its state.
+/// The local entry reported its state.
 struct EntryReported
 {
 	EntryRef entry;
 	VersionSet versions;
 	bool stopping = false;
-	bool drained = false; ///< Stopping, and everything has ended and is handed over.
+	bool drained = false; ///< It is stopping, its requests have ended and its answers are handed over.
 };
 
-/// No entry answers beside this control.
+/// The local entry does not answer.
 struct EntryUnreachable
 {
 };
 
-/// An operator wants a change.
+/// An operator requested a configuration change.
 struct OperatorChange
 {
-	std::uint64_t requestNumber = 0; ///< Number for the answer.
-	std::string changeId;            ///< Unique; found again in the document's history.
+	std::uint64_t requestNumber = 0; ///< Identifies the request in the answer.
+	std::string changeId;            ///< Unique; recorded in the document's history.
 	std::string statement;
 };
 
@@ -146,7 +145,7 @@
 {
 	std::string id;
 	bool leaving = false;
-	Micros notice = 0; ///< Span that is left, where leaving.
+	Micros notice = 0; ///< Remaining termination notice of a leaving VM.
 };
 
 /// The platform's VM list arrived.
@@ -155,7 +154,7 @@
 	std::vector<VmListItem> items;
 };
 
-/// Time has passed.
+/// Periodic timer.
 struct ControlTick
 {
 };
@@ -170,7 +169,7 @@
 	std::string key;
 };
 
-/// Write a value if its revision is the expected one (0: if it does not exist).
+/// Write a value if its revision is the expected one (0 for a key that does not exist).
 struct StoreSwap
 {
 	std::uint64_t op = 0;
@@ -180,7 +179,7 @@
 	std::int64_t lease = 0; ///< 0 for none.
 };
 
-/// Ask for a lease.
+/// Request a lease.
 struct StoreLeaseGrant
 {
 	std::uint64_t op = 0;
@@ -194,29 +193,29 @@
 	std::int64_t lease = 0;
 };
 
-/// Give the entry beside what it lacks.
+/// Send the local entry the documents that it lacks.
 struct SyncEntry
 {
 	Snapshot snapshot;
-	std::string configText; ///< Empty where the entry has it.
+	std::string configText; ///< Empty if the entry has it.
 	std::string rosterText;
 };
 
-/// Tell another control what this one has, with what the other lacks.
+/// Send another control the versions of this one, and the documents that the other lacks.
 struct SendExchange
 {
 	Address to;
 	PeerExchange exchange;
 };
 
-/// Tell an operator the end of a change.
+/// Tell an operator the result of a change.
 struct AnswerOperator
 {
 	std::uint64_t requestNumber = 0;
 	bool ok = false;
 	Failure failure = Failure::Internal;
 	std::string detail;
-	std::uint64_t version = 0; ///< In force, or that won.
+	std::uint64_t version = 0; ///< Version in force.
 };
 
 /// Read the platform's VM list.
@@ -235,26 +234,26 @@
 	std::uint64_t storeWrites = 0;
 	std::uint64_t storeFailures = 0;
 	std::uint64_t exchanges = 0;
-	std::uint64_t staleRefused = 0; ///< Documents older than the one in force.
+	std::uint64_t staleRefused = 0; ///< Rejected documents that were older than the one in force.
 	std::uint64_t invalidRefused = 0;
 };
 
-/// One control's decision core.
+/// Decision core of one control.
 class ControlCore
 {
 public:
 	ControlCore(ControlSettings _settings, DocumentCodec _codec);
 
-	/// Takes in one event; as EntryCore::handle().
+	/// Processes one event, like EntryCore::handle().
 	void handle(ControlEvent _event, Micros _now, ControlActions& _out);
 
-	/// @returns whether this control does the store's work for its data centre.
+	/// @returns true if this control is the leader of its data centre.
 	bool isLeader() const;
 
-	/// @returns the token that orders of this leader carry; grows with each lease holder.
+	/// @returns the fencing token of this leader's orders, 0 for none; it grows with each lease holder.
 	std::int64_t fencingToken() const;
 
-	/// @returns whether the last operation on the store succeeded.
+	/// @returns true if the store answered the last operation.
 	bool storeReachable() const;
 
 	const ControlSettings& settings() const;
@@ -264,11 +263,11 @@
 	const VmView& vms() const;
 	VersionSet versions() const;
 
-	/// @returns the last report of the entry beside, if there is one.
+	/// @returns the last report of the local entry, if there is one.
 	const std::optional<EntryReported>& entry() const;
 
 private:
-	/// What an operation on the store is for.
+	/// Purpose of the store operation in flight.
 	enum class Purpose
 	{
 		ReadConfig,
@@ -283,14 +282,14 @@
 		ReadBackChange,
 	};
 
-	/// A change that an operator waits for.
+	/// A change whose operator waits for the result.
 	struct PendingChange
 	{
 		OperatorChange request;
-		Micros giveUp = 0;
+		Micros deadline = 0;
 		ConfigDoc edited;
 		std::int64_t base = 0;
-		bool mayBeDone = false; ///< A swap was sent whose answer was lost.
+		bool mayBeApplied = false; ///< A swap was sent and its answer was lost.
 	};
 
 	void on(StoreAnswered& _event);
@@ -314,18 +313,18 @@
 	void onChangeRead(const StoreAnswered& _event);
 	void onChangeSwapped(const StoreAnswered& _event);
 	void onChangeReadBack(const StoreAnswered& _event);
-	bool isChangeUnderWay() const;
+	bool isChangeInFlight() const;
 	void answerChange(bool _ok, Failure _failure, const std::string& _detail);
 	bool adoptConfig(const std::string& _text);
 	bool adoptRoster(const std::string& _text);
 	bool mergeVms(const VmView& _vms);
-	std::optional<Roster> wantedRoster() const;
+	std::optional<Roster> nextRoster() const;
 	void syncEntry();
-	void spread();
-	void exchangeWith(const Address& _to, const VersionSet& _theirs, bool _reply);
+	void propagate();
+	void exchangeWith(const Address& _to, const VersionSet& _peerVersions, bool _reply);
 	std::vector<Address> pickPeers(std::size_t _count);
-	void noteFailure();
-	Micros leaderReadSpan();
+	void onStoreFailure();
+	Micros leaderReadDelay();
 	std::string leaderKey() const;
 	std::string rosterKey() const;
 
@@ -339,19 +338,20 @@
 	ConfigDoc m_config;
 	RosterDoc m_roster;
 	std::int64_t m_rosterRevision = 0;
-	bool m_rosterFresh = false; ///< m_roster is what the store held at m_rosterRevision.
+	bool m_rosterFresh = false; ///< m_roster equals the value that the store held at m_rosterRevision.
 	VmView m_vms;
-	std::map<std::string, unsigned> m_vmMissing; ///< VMs seen in the list, and lists since that lack them.
+	std::map<std::string, unsigned>
+		m_vmMissing; ///< Consecutive lists without the VM, by id, for every VM that was ever listed.
 	std::optional<EntryReported> m_entry;
 
 	std::uint64_t m_nextOp = 1;
-	std::uint64_t m_op = 0; ///< Under way, 0 for none.
+	std::uint64_t m_opInFlight = 0; ///< Operation in flight, 0 for none.
 	Purpose m_purpose = Purpose::ReadConfig;
 	bool m_storeReachable = false;
 	unsigned m_storeFailures = 0;
-	Micros m_storeNext = 0; ///< Not before this time, after failures.
+	Micros m_storeNotBefore = 0; ///< No store operation starts before this time, after failures.
 	Micros m_readNext = 0;
-	Micros m_lastHeard = 0; ///< Last word from a control that reaches the store.
+	Micros m_lastExchangeAt = 0; ///< Time of the last exchange received from another control.
 	Micros m_configRead = -1;
 	Micros m_rosterRead = -1;
 
@@ -367,7 +367,7 @@
 	Micros m_vmListNext = 0;
 };
 
-/// @returns a number that two equal views share.
+/// @returns a hash of the VM ids in a view; equal views have equal hashes.
 std::uint64_t digestOf(const VmView& _vms);
 
 } // namespace beacongate
--- a/src/coordination/controlstore.cpp
+++ b/src/coordination/controlstore.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// ControlCore's work with the store: one operation at a time, the most urgent first.
+/// Store operations of ControlCore: one at a time, the most urgent first.
 
 #include "beacongate/limits.h"
 #include "coordination/controlcore.h"
@@ -16,13 +16,13 @@
 {
 constexpr const char* kConfigKey = "/beacongate/config";
 constexpr Micros kStoreBackoffBase = 200 * kMillisecond;
-constexpr unsigned kMostDoublings = 6;
-/// A lease is renewed this often within its span.
+constexpr unsigned kMaxDoublings = 6;
+/// Renewals of a lease within its time to live.
 constexpr Micros kRenewalsPerLease = 3;
-/// Looks for a vacant leadership in a data centre per span of a lease.
-constexpr std::size_t kLeaderLooks = 3;
-/// A control that is not the leader reads the store itself after this silence of others.
-constexpr Micros kLeaderSilence = 5 * kSecond;
+/// Checks for a vacant leadership per data centre within a lease's time to live.
+constexpr std::size_t kLeaderReadsPerLease = 3;
+/// A control that is not the leader reads the store itself after this long without an exchange.
+constexpr Micros kLeaderSilenceTimeout = 5 * kSecond;
 } // namespace
 
 std::string ControlCore::leaderKey() const
@@ -30,9 +30,9 @@
 	return "/beacongate/leader/" + m_settings.dataCentre;
 }
 
-Micros ControlCore::leaderReadSpan()
+Micros ControlCore::leaderReadDelay()
 {
-	// All controls of a data centre together look about kLeaderLooks times in a lease's span.
+	// All controls of a data centre together read the leader key about kLeaderReadsPerLease times per lease.
 	std::size_t controls = 0;
 	if (nullptr != m_roster.roster)
 	{
@@ -41,7 +41,8 @@
 														  [&](const RosterMember& _member)
 														  { return _member.dataCentre == m_settings.dataCentre; }));
 	}
-	const Micros span = limits::kLeaseTtl * static_cast<Micros>(std::max<std::size_t>(1, controls / kLeaderLooks));
+	const Micros span =
+		limits::kLeaseTtl * static_cast<Micros>(std::max<std::size_t>(1, controls / kLeaderReadsPerLease));
 	return span / 2 + static_cast<Micros>(m_random() % static_cast<std::uint64_t>(span));
 }
 
@@ -52,32 +53,32 @@
 
 void ControlCore::nextStoreOp()
 {
-	if (0 != m_op || m_now < m_storeNext)
+	if (0 != m_opInFlight || m_now < m_storeNotBefore)
 	{
 		return;
 	}
 	if (!m_changes.empty())
 	{
-		storeRead(m_changes.front().mayBeDone ? Purpose::ReadBackChange : Purpose::ReadForChange, kConfigKey);
+		storeRead(m_changes.front().mayBeApplied ? Purpose::ReadBackChange : Purpose::ReadForChange, kConfigKey);
 		return;
 	}
-	if (wantedRoster().has_value())
+	if (nextRoster().has_value())
 	{
 		if (!m_rosterFresh)
 		{
 			storeRead(Purpose::ReadRoster, rosterKey());
 			return;
 		}
-		storeSwap(Purpose::SwapRoster, rosterKey(), m_rosterRevision, m_codec.writeRoster(*wantedRoster()), 0);
+		storeSwap(Purpose::SwapRoster, rosterKey(), m_rosterRevision, m_codec.writeRoster(*nextRoster()), 0);
 		return;
 	}
 	if (m_leader && m_now >= m_leaseRenewNext)
 	{
 		m_leaseRenewNext = m_now + limits::kLeaseTtl / kRenewalsPerLease;
-		m_op = m_nextOp++;
+		m_opInFlight = m_nextOp++;
 		m_purpose = Purpose::RenewLease;
 		m_stats.storeWrites += 1;
-		m_out->push_back(StoreLeaseRenew{m_op, m_lease});
+		m_out->push_back(StoreLeaseRenew{m_opInFlight, m_lease});
 		return;
 	}
 	if (!m_leader && m_leaderVacant)
@@ -87,20 +88,20 @@
 			storeSwap(Purpose::TakeLeadership, leaderKey(), 0, m_settings.id, m_lease);
 			return;
 		}
-		m_op = m_nextOp++;
+		m_opInFlight = m_nextOp++;
 		m_purpose = Purpose::GrantLease;
 		m_stats.storeWrites += 1;
-		m_out->push_back(StoreLeaseGrant{m_op, limits::kLeaseTtl});
+		m_out->push_back(StoreLeaseGrant{m_opInFlight, limits::kLeaseTtl});
 		return;
 	}
 	if (!m_leader && m_now >= m_leaderReadNext)
 	{
-		m_leaderReadNext = m_now + leaderReadSpan();
+		m_leaderReadNext = m_now + leaderReadDelay();
 		storeRead(Purpose::ReadLeader, leaderKey());
 		return;
 	}
-	const bool reads = m_leader || m_now - m_lastHeard > kLeaderSilence;
-	if (!reads)
+	const bool readsStore = m_leader || m_now - m_lastExchangeAt > kLeaderSilenceTimeout;
+	if (!readsStore)
 	{
 		return;
 	}
@@ -117,7 +118,7 @@
 	}
 }
 
-std::optional<Roster> ControlCore::wantedRoster() const
+std::optional<Roster> ControlCore::nextRoster() const
 {
 	const Roster empty;
 	const Roster& current = nullptr == m_roster.roster ? empty : *m_roster.roster;
@@ -176,43 +177,44 @@
 
 void ControlCore::storeRead(Purpose _purpose, const std::string& _key)
 {
-	m_op = m_nextOp++;
+	m_opInFlight = m_nextOp++;
 	m_purpose = _purpose;
 	m_stats.storeReads += 1;
-	m_out->push_back(StoreGet{m_op, _key});
+	m_out->push_back(StoreGet{m_opInFlight, _key});
 }
 
 void ControlCore::storeSwap(Purpose _purpose, const std::string& _key, std::int64_t _expected, std::string _text,
 							std::int64_t _lease)
 {
-	m_op = m_nextOp++;
+	m_opInFlight = m_nextOp++;
 	m_purpose = _purpose;
 	m_stats.storeWrites += 1;
-	m_out->push_back(StoreSwap{m_op, _key, _expected, std::move(_text), _lease});
+	m_out->push_back(StoreSwap{m_opInFlight, _key, _expected, std::move(_text), _lease});
 }
 
-void ControlCore::noteFailure()
+void ControlCore::onStoreFailure()
 {
 	m_stats.storeFailures += 1;
 	m_storeReachable = false;
 	const Micros span =
-		std::min(kStoreBackoffBase << std::min(m_storeFailures, kMostDoublings), limits::kStoreBackoffMax);
+		std::min(kStoreBackoffBase << std::min(m_storeFailures, kMaxDoublings), limits::kStoreBackoffMax);
 	m_storeFailures += 1;
-	// Half of the span is jitter, so that controls do not come back together.
-	m_storeNext = m_now + span / 2 + static_cast<Micros>(m_random() % static_cast<std::uint64_t>(span / 2 + 1));
+	// Half of the delay is jitter, so that controls do not retry at the same time.
+	m_storeNotBefore =
+		m_now + span / 2 + static_cast<Micros>(m_random() % static_cast<std::uint64_t>(span / 2 + 1));
 }
 
 void ControlCore::on(StoreAnswered& _event)
 {
-	if (_event.op != m_op)
+	if (_event.op != m_opInFlight)
 	{
-		return; // An answer that was given up.
+		return; // Answer to an abandoned operation.
 	}
-	m_op = 0;
+	m_opInFlight = 0;
 	const bool failed = StoreStatus::Failed == _event.status || StoreStatus::Lost == _event.status;
 	if (failed)
 	{
-		noteFailure();
+		onStoreFailure();
 	}
 	else
 	{
@@ -256,7 +258,7 @@
 {
 	if (StoreStatus::Ok == _event.status && _event.value.exists && adoptConfig(_event.value.text))
 	{
-		spread();
+		propagate();
 	}
 }
 
@@ -269,9 +271,9 @@
 	m_rosterRevision = _event.value.modRevision;
 	if (_event.value.exists && adoptRoster(_event.value.text))
 	{
-		spread();
+		propagate();
 	}
-	// Only what the store holds now may be the base of a swap.
+	// Only the value that the store holds now may be the base of a swap.
 	m_rosterFresh = !_event.value.exists ? nullptr == m_roster.roster : m_roster.text == _event.value.text;
 }
 
@@ -291,7 +293,7 @@
 	const bool refused = StoreStatus::CompareFailed == _event.status;
 	if (renewal && refused)
 	{
-		// The lease had lapsed; another control may lead by now.
+		// The lease had expired; another control may be the leader.
 		m_leader = false;
 		m_fencing = 0;
 		m_lease = 0;
@@ -309,7 +311,7 @@
 		m_leaseRenewNext = m_now + limits::kLeaseTtl / kRenewalsPerLease;
 		return;
 	}
-	// Also where the answer was lost: the record then names a lease that is not renewed, and lapses.
+	// Also if the answer was lost: the leader key is then bound to a lease that is not renewed, and expires.
 	m_lease = 0;
 	m_leaderReadNext = m_now + limits::kLeaseTtl;
 }
@@ -324,11 +326,11 @@
 	}
 }
 
-bool ControlCore::isChangeUnderWay() const
+bool ControlCore::isChangeInFlight() const
 {
 	const bool forChange = Purpose::ReadForChange == m_purpose || Purpose::SwapForChange == m_purpose ||
 						   Purpose::ReadBackChange == m_purpose;
-	return 0 != m_op && forChange;
+	return 0 != m_opInFlight && forChange;
 }
 
 void ControlCore::onChangeRead(const StoreAnswered& _event)
@@ -354,7 +356,7 @@
 	}
 	if (change.edited.config->version <= versions().config)
 	{
-		// The store has lost changes that are in force here; nothing older may go out.
+		// The store has lost changes that are in force here; an older configuration must not be distributed.
 		answerChange(false, Failure::ConfigStale, "the store holds an older configuration than the one in force");
 		return;
 	}
@@ -373,19 +375,19 @@
 	{
 	case StoreStatus::Ok:
 		adoptConfig(change.edited.text);
-		spread();
+		propagate();
 		answerChange(true, Failure::Internal, "in force from this version on");
 		break;
 	case StoreStatus::CompareFailed:
 		if (_event.value.exists && adoptConfig(_event.value.text))
 		{
-			spread();
+			propagate();
 		}
 		answerChange(false, Failure::ConfigConflict, "another change came first");
 		break;
 	case StoreStatus::Failed:
 	case StoreStatus::Lost:
-		change.mayBeDone = true;
+		change.mayBeApplied = true;
 		break;
 	}
 }
@@ -399,7 +401,7 @@
 	PendingChange& change = m_changes.front();
 	if (_event.value.modRevision == change.base)
 	{
-		// Not done so far. The same swap again: only one of the two can find this revision.
+		// Not applied so far. The same swap is sent again; only one of the two can find this revision.
 		storeSwap(Purpose::SwapForChange, kConfigKey, change.base, change.edited.text, 0);
 		return;
 	}
@@ -415,7 +417,7 @@
 	}
 	if (adoptConfig(_event.value.text))
 	{
-		spread();
+		propagate();
 	}
 	const auto found = std::find(current.history.begin(), current.history.end(), change.request.changeId);
 	const bool done = current.history.end() != found;
--- a/tests/controltest.cpp
+++ b/tests/controltest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Promises 6 and 7: an accepted configuration never reverts, and an outage of the store stops nothing.
+/// Tests of the control: an accepted configuration never reverts, and a store outage interrupts nothing.
 
 #include "coordination/controlcore.h"
 #include "protocol/documents.h"
@@ -16,15 +16,15 @@
 {
 constexpr std::size_t kControls = 4;
 
-/// What happens to a call on the store.
-enum class StoreMood
+/// How the simulated store treats an operation.
+enum class StoreMode
 {
 	Up,
-	Down, ///< Nothing is done and nothing answered.
-	Lose, ///< Everything is done and nothing answered.
+	Down,        ///< Operations are neither performed nor answered.
+	LoseAnswers, ///< Operations are performed but not answered.
 };
 
-/// The store and the network between some controls, in virtual time.
+/// Simulated store and network of several controls, in virtual time.
 class Region
 {
 public:
@@ -55,9 +55,9 @@
 			}
 			cores.push_back(std::make_unique<ControlCore>(settings, jsonDocumentCodec()));
 			frozen.push_back(false);
-			cutFromStore.push_back(false);
+			storeUnreachable.push_back(false);
 			entries.push_back(EntryReported{EntryRef{settings.id, 1}, {}, false, false});
-			highest.push_back(0);
+			highestVersion.push_back(0);
 		}
 	}
 
@@ -72,11 +72,11 @@
 		cores[_control]->handle(std::move(_event), now, actions);
 		for (ControlAction& action : actions)
 		{
-			take(_control, action);
+			handleAction(_control, action);
 		}
 		const std::uint64_t version = cores[_control]->versions().config;
-		reverted = reverted || version < highest[_control];
-		highest[_control] = std::max(highest[_control], version);
+		reverted = reverted || version < highestVersion[_control];
+		highestVersion[_control] = std::max(highestVersion[_control], version);
 	}
 
 	void freeze(std::size_t _control, bool _frozen)
@@ -86,11 +86,11 @@
 		events.swap(held);
 		for (auto& [control, event] : events)
 		{
-			send(control, std::move(event)); // What is still frozen is held again.
+			send(control, std::move(event)); // Events of controls that are still frozen are held again.
 		}
 	}
 
-	/// Time passes; entries report, calls on the store end, messages arrive.
+	/// Advances time; entries report, store operations end and messages arrive.
 	void run(Micros _span)
 	{
 		const Micros until = now + _span;
@@ -111,28 +111,28 @@
 
 	void flush()
 	{
-		while (!mails.empty() || !calls.empty())
+		while (!exchanges.empty() || !storeOperations.empty())
 		{
 			std::vector<SendExchange> arrived;
-			arrived.swap(mails);
-			for (SendExchange& mail : arrived)
+			arrived.swap(exchanges);
+			for (SendExchange& exchange : arrived)
 			{
-				send(mail.to.port - 2000u, std::move(mail.exchange));
+				send(exchange.to.port - 2000u, std::move(exchange.exchange));
 			}
-			std::vector<std::pair<std::size_t, ControlAction>> asked;
-			asked.swap(calls);
-			for (auto& [control, action] : asked)
+			std::vector<std::pair<std::size_t, ControlAction>> operations;
+			operations.swap(storeOperations);
+			for (auto& [control, action] : operations)
 			{
-				callStore(control, action);
+				runStoreOperation(control, action);
 			}
 		}
 	}
 
 	std::uint64_t change(std::size_t _control, const std::string& _statement)
 	{
-		const std::uint64_t ask = nextAsk++;
-		send(_control, OperatorChange{ask, "change" + std::to_string(ask), _statement});
-		return ask;
+		const std::uint64_t requestNumber = nextRequestNumber++;
+		send(_control, OperatorChange{requestNumber, "change" + std::to_string(requestNumber), _statement});
+		return requestNumber;
 	}
 
 	bool allHave(std::uint64_t _version) const
@@ -148,13 +148,13 @@
 	}
 
 	Micros now = kSecond;
-	StoreMood mood = StoreMood::Up;
+	StoreMode storeMode = StoreMode::Up;
 	bool loseSwapAnswers = false;
 	std::vector<std::unique_ptr<ControlCore>> cores;
 	std::vector<bool> frozen;
-	std::vector<bool> cutFromStore;
+	std::vector<bool> storeUnreachable;
 	std::vector<EntryReported> entries;
-	std::vector<std::uint64_t> highest;
+	std::vector<std::uint64_t> highestVersion;
 	std::map<std::string, Value> values;
 	std::map<std::uint64_t, AnswerOperator> answers;
 	std::vector<VmListItem> vmList;
@@ -163,11 +163,11 @@
 	bool reverted = false;
 
 private:
-	void take(std::size_t _control, ControlAction& _action)
+	void handleAction(std::size_t _control, ControlAction& _action)
 	{
-		if (SendExchange* mail = std::get_if<SendExchange>(&_action))
+		if (SendExchange* outgoing = std::get_if<SendExchange>(&_action))
 		{
-			mails.push_back(std::move(*mail));
+			exchanges.push_back(std::move(*outgoing));
 		}
 		else if (const SyncEntry* sync = std::get_if<SyncEntry>(&_action))
 		{
@@ -186,27 +186,27 @@
 		}
 		else
 		{
-			calls.emplace_back(_control, std::move(_action));
+			storeOperations.emplace_back(_control, std::move(_action));
 		}
 	}
 
-	void callStore(std::size_t _control, const ControlAction& _action)
+	void runStoreOperation(std::size_t _control, const ControlAction& _action)
 	{
 		StoreAnswered answered;
-		const StoreMood how = cutFromStore[_control] ? StoreMood::Down : mood;
+		const StoreMode mode = storeUnreachable[_control] ? StoreMode::Down : storeMode;
 		expire();
 		if (const StoreGet* get = std::get_if<StoreGet>(&_action))
 		{
 			++reads;
 			answered.op = get->op;
 			answered.status = StoreStatus::Ok;
-			fill(answered, get->key);
+			fillValue(answered, get->key);
 		}
 		else if (const StoreSwap* swap = std::get_if<StoreSwap>(&_action))
 		{
 			++writes;
 			answered.op = swap->op;
-			if (StoreMood::Down != how)
+			if (StoreMode::Down != mode)
 			{
 				swapValue(*swap, answered);
 				answered.status = loseSwapAnswers ? StoreStatus::Lost : answered.status;
@@ -225,21 +225,21 @@
 			++writes;
 			answered.op = renew->op;
 			answered.lease = renew->lease;
-			const bool lives = leases.contains(renew->lease);
-			answered.status = lives ? StoreStatus::Ok : StoreStatus::CompareFailed;
-			if (lives && StoreMood::Down != how)
+			const bool valid = leases.contains(renew->lease);
+			answered.status = valid ? StoreStatus::Ok : StoreStatus::CompareFailed;
+			if (valid && StoreMode::Down != mode)
 			{
 				leases[renew->lease] = now + limits::kLeaseTtl;
 			}
 		}
-		if (StoreMood::Up != how)
+		if (StoreMode::Up != mode)
 		{
 			answered = StoreAnswered{answered.op, StoreStatus::Lost, {}, 0, 0};
 		}
 		send(_control, answered);
 	}
 
-	void fill(StoreAnswered& _answered, const std::string& _key) const
+	void fillValue(StoreAnswered& _answered, const std::string& _key) const
 	{
 		const auto it = values.find(_key);
 		if (values.end() != it)
@@ -255,7 +255,7 @@
 		if (mod != _swap.expectedRevision)
 		{
 			_answered.status = StoreStatus::CompareFailed;
-			fill(_answered, _swap.key);
+			fillValue(_answered, _swap.key);
 			return;
 		}
 		++revision;
@@ -279,19 +279,19 @@
 		}
 	}
 
-	std::vector<std::pair<std::size_t, ControlEvent>> held; ///< For frozen controls.
-	std::vector<SendExchange> mails;
-	std::vector<std::pair<std::size_t, ControlAction>> calls;
+	std::vector<std::pair<std::size_t, ControlEvent>> held; ///< Events held back for frozen controls.
+	std::vector<SendExchange> exchanges;
+	std::vector<std::pair<std::size_t, ControlAction>> storeOperations;
 	std::map<std::int64_t, Micros> leases;
 	std::int64_t revision = 0;
-	std::uint64_t nextAsk = 1;
+	std::uint64_t nextRequestNumber = 1;
 };
 
 const std::string kDocument = R"(apply {"teams": [{"name": "a", "token": "ta"}, {"name": "b", "token": "tb"}],
 	"services": [{"name": "m", "kind": "model"}],
 	"backends": [{"id": "b1", "service": "m", "address": "127.0.0.1:9", "vm": "v1", "dataCentre": "dc0"}]})";
 
-/// Brings up a region and gives it its first configuration.
+/// Starts a region and applies its first configuration.
 void configure(Region& _region, Micros _span)
 {
 	_region.run(2 * kSecond);
@@ -312,7 +312,7 @@
 	const std::uint64_t first = region.change(0, kDocument);
 	region.run(2 * kSecond);
 	RC_ASSERT(region.answers.at(first).ok);
-	std::map<std::uint64_t, std::pair<std::size_t, int>> sent; // Ask to team and weight.
+	std::map<std::uint64_t, std::pair<std::size_t, int>> sent; // Team and weight, by request number.
 	const auto steps = *rc::gen::container<std::vector<std::pair<std::uint8_t, std::uint8_t>>>(
 		rc::gen::arbitrary<std::pair<std::uint8_t, std::uint8_t>>());
 	int weight = 2;
@@ -331,13 +331,13 @@
 			break;
 		}
 		case 2:
-			region.mood = static_cast<StoreMood>(pick % 3);
+			region.storeMode = static_cast<StoreMode>(pick % 3);
 			break;
 		case 3:
 			region.freeze(control, !region.frozen[control]);
 			break;
 		case 4:
-			region.cutFromStore[control] = !region.cutFromStore[control];
+			region.storeUnreachable[control] = !region.storeUnreachable[control];
 			break;
 		default:
 			region.run(40 * kMillisecond * pick);
@@ -345,27 +345,27 @@
 		}
 		RC_ASSERT(!region.reverted);
 	}
-	region.mood = StoreMood::Up;
+	region.storeMode = StoreMode::Up;
 	for (std::size_t ii = 0; ii < kControls; ++ii)
 	{
 		region.freeze(ii, false);
 	}
-	region.cutFromStore.assign(kControls, false);
+	region.storeUnreachable.assign(kControls, false);
 	region.run(60 * kSecond);
 	RC_ASSERT(!region.reverted);
 	RC_ASSERT(region.allHave(region.storedVersion()));
-	// Every change has an answer; an accepted one stands in the history, a refused one does not.
+	// Every change has an answer; an accepted one is in the history, a rejected one is not.
 	std::size_t accepted = 0;
 	const auto& history = region.cores[0]->config().history;
-	for (const auto& [ask, what] : sent)
+	for (const auto& [requestNumber, what] : sent)
 	{
-		RC_ASSERT(region.answers.contains(ask));
-		const AnswerOperator& answer = region.answers.at(ask);
-		const std::string id = "change" + std::to_string(ask);
-		const bool stands = history.end() != std::find(history.begin(), history.end(), id);
-		const bool acceptedAndThere = answer.ok && (stands || accepted >= limits::kConfigHistory);
-		const bool refusedAndAbsent = !answer.ok && (!stands || Failure::OutcomeUnknown == answer.failure);
-		RC_ASSERT(acceptedAndThere || refusedAndAbsent);
+		RC_ASSERT(region.answers.contains(requestNumber));
+		const AnswerOperator& answer = region.answers.at(requestNumber);
+		const std::string id = "change" + std::to_string(requestNumber);
+		const bool inHistory = history.end() != std::find(history.begin(), history.end(), id);
+		const bool acceptedAndPresent = answer.ok && (inHistory || accepted >= limits::kConfigHistory);
+		const bool rejectedAndAbsent = !answer.ok && (!inHistory || Failure::OutcomeUnknown == answer.failure);
+		RC_ASSERT(acceptedAndPresent || rejectedAndAbsent);
 		accepted += answer.ok ? 1 : 0;
 	}
 }
@@ -374,11 +374,11 @@
 {
 	Region region;
 	configure(region, 3 * kSecond);
-	// One control is cut off from the store; it gets the change through the others.
-	region.cutFromStore[*rc::gen::inRange<std::size_t>(1, kControls)] = true;
-	const std::uint64_t ask = region.change(0, "set team a weight 7");
+	// One control cannot reach the store; it receives the change from the others.
+	region.storeUnreachable[*rc::gen::inRange<std::size_t>(1, kControls)] = true;
+	const std::uint64_t requestNumber = region.change(0, "set team a weight 7");
 	region.run(2 * kSecond);
-	RC_ASSERT(region.answers.at(ask).ok);
+	RC_ASSERT(region.answers.at(requestNumber).ok);
 	RC_ASSERT(region.allHave(2));
 	for (std::size_t ii = 0; ii < kControls; ++ii)
 	{
@@ -392,10 +392,10 @@
 	Region region;
 	region.run(2 * kSecond);
 	region.loseSwapAnswers = true;
-	const std::uint64_t ask = region.change(0, kDocument);
+	const std::uint64_t requestNumber = region.change(0, kDocument);
 	region.run(5 * kSecond);
-	ASSERT_TRUE(region.answers.contains(ask));
-	EXPECT_TRUE(region.answers.at(ask).ok);
+	ASSERT_TRUE(region.answers.contains(requestNumber));
+	EXPECT_TRUE(region.answers.at(requestNumber).ok);
 	EXPECT_EQ(1u, region.storedVersion()) << "done once";
 	EXPECT_TRUE(region.allHave(1));
 }
@@ -415,18 +415,18 @@
 	EXPECT_EQ(2u, loser.version);
 }
 
-TEST(ConfigurationCases, aChangeThatBreaksTheDocumentIsRefusedWithItsPlace)
+TEST(ConfigurationCases, anInvalidChangeIsRejectedWithItsPosition)
 {
 	Region region;
 	configure(region, 2 * kSecond);
-	const std::uint64_t ask = region.change(1, "set team a weight 0");
+	const std::uint64_t requestNumber = region.change(1, "set team a weight 0");
 	region.run(kSecond);
-	EXPECT_EQ(Failure::ConfigInvalid, region.answers.at(ask).failure);
-	EXPECT_EQ("teams[0]: 'weight' has to be above 0 and at most 1000000", region.answers.at(ask).detail);
+	EXPECT_EQ(Failure::ConfigInvalid, region.answers.at(requestNumber).failure);
+	EXPECT_EQ("teams[0]: 'weight' has to be above 0 and at most 1000000", region.answers.at(requestNumber).detail);
 	EXPECT_TRUE(region.allHave(1));
 }
 
-TEST(ConfigurationCases, aStoreThatLostChangesIsNotFollowedBack)
+TEST(ConfigurationCases, aStoreThatLostChangesIsNotAdopted)
 {
 	Region region;
 	configure(region, 2 * kSecond);
@@ -435,20 +435,20 @@
 	region.run(2 * kSecond);
 	ASSERT_TRUE(region.allHave(2));
 	region.values = old;
-	const std::uint64_t ask = region.change(1, "set team b weight 4");
+	const std::uint64_t requestNumber = region.change(1, "set team b weight 4");
 	region.run(5 * kSecond);
 	EXPECT_TRUE(region.allHave(2));
 	EXPECT_EQ(9.0, weightOf(*region.cores[3], 0));
-	EXPECT_EQ(Failure::ConfigStale, region.answers.at(ask).failure);
+	EXPECT_EQ(Failure::ConfigStale, region.answers.at(requestNumber).failure);
 }
 
-TEST(Outage, ofHoursChangesNothingAndEndsWithoutUndoing)
+TEST(Outage, ofHoursKeepsTheConfigurationAndRevertsNothing)
 {
 	Region region;
 	region.vmList = {{"v1", false, 0}, {"vm-e0", false, 0}, {"vm-e1", false, 0}};
 	configure(region, 5 * kSecond);
 	ASSERT_EQ(4u, region.cores[0]->roster().roster->members.size());
-	region.mood = StoreMood::Down;
+	region.storeMode = StoreMode::Down;
 	const std::uint64_t refused = region.change(2, "set team a weight 5");
 	region.run(2 * kSecond);
 	EXPECT_EQ(Failure::StoreUnavailable, region.answers.at(refused).failure) << "told at once";
@@ -465,14 +465,14 @@
 	const std::uint64_t before = region.reads;
 	region.run(600 * kSecond);
 	EXPECT_LT(region.reads - before, 4u * 600 / 5) << "a store that is down is not asked in a hurry";
-	region.mood = StoreMood::Up;
+	region.storeMode = StoreMode::Up;
 	const std::uint64_t accepted = region.change(3, "set team a weight 6");
 	region.run(30 * kSecond);
 	EXPECT_TRUE(region.answers.at(accepted).ok);
 	EXPECT_TRUE(region.allHave(2));
 }
 
-TEST(Leadership, aPausedLeaderThatWakesIsReplacedWithALargerToken)
+TEST(Leadership, aFrozenLeaderIsReplacedWithALargerToken)
 {
 	Region region(4);
 	region.run(10 * kSecond);
@@ -493,7 +493,7 @@
 	EXPECT_FALSE(region.cores[old]->isLeader());
 }
 
-TEST(Roster, holdsEveryEntryAndFollowsStopsAndEndedVms)
+TEST(Roster, listsEveryEntryAndFollowsStopsAndTerminatedVms)
 {
 	Region region;
 	region.vmList = {{"vm-e0", false, 0}, {"vm-e1", false, 0}, {"vm-e2", false, 0}, {"vm-e3", false, 0}};
