--- a/src/coordination/fairqueue.cpp
+++ b/src/coordination/fairqueue.cpp
@@ -7,58 +7,58 @@
 
 namespace beacongate
 {
-FairQueue::Line& FairQueue::activate(TeamHandle _team, double _weight)
+FairQueue::TeamQueue& FairQueue::activate(TeamHandle _team, double _weight)
 {
-	if (m_lines.size() <= _team.idx)
+	if (m_teamQueues.size() <= _team.idx)
 	{
-		m_lines.resize(_team.idx + 1);
+		m_teamQueues.resize(_team.idx + 1);
 	}
-	Line& line = m_lines[_team.idx];
-	if (0 == line.count)
+	TeamQueue& queue = m_teamQueues[_team.idx];
+	if (0 == queue.count)
 	{
-		line.start = std::max(line.start, m_virtualTime);
-		line.weight = _weight;
-		m_activeWeight += line.weight;
-		m_order.emplace(line.start, _team.idx);
+		queue.startTag = std::max(queue.startTag, m_virtualTime);
+		queue.weight = _weight;
+		m_activeWeight += queue.weight;
+		m_order.emplace(queue.startTag, _team.idx);
 	}
-	return line;
+	return queue;
 }
 
-void FairQueue::account(Line& _line, const QueueItem& _item)
+void FairQueue::recordAdded(TeamQueue& _queue, const QueueItem& _item)
 {
-	_line.count += 1;
-	_line.cost += _item.cost;
+	_queue.count += 1;
+	_queue.cost += _item.cost;
 	m_count += 1;
 	m_cost += _item.cost;
 }
 
-void FairQueue::release(TeamHandle _team, Line& _line, const QueueItem& _item)
+void FairQueue::recordRemoved(TeamHandle _team, TeamQueue& _queue, const QueueItem& _item)
 {
-	_line.count -= 1;
-	_line.cost -= _item.cost;
+	_queue.count -= 1;
+	_queue.cost -= _item.cost;
 	m_count -= 1;
 	m_cost -= _item.cost;
-	if (0 == _line.count)
+	if (0 == _queue.count)
 	{
-		m_activeWeight -= _line.weight;
-		m_order.erase({_line.start, _team.idx});
+		m_activeWeight -= _queue.weight;
+		m_order.erase({_queue.startTag, _team.idx});
 	}
 }
 
 void FairQueue::push(TeamHandle _team, double _weight, const QueueItem& _item)
 {
-	Line& line = activate(_team, _weight);
-	line.byPriority[_item.priority].push_back(_item);
-	account(line, _item);
+	TeamQueue& queue = activate(_team, _weight);
+	queue.byPriority[_item.priority].push_back(_item);
+	recordAdded(queue, _item);
 }
 
 void FairQueue::pushFront(TeamHandle _team, double _weight, const QueueItem& _item)
 {
-	Line& line = activate(_team, _weight);
+	TeamQueue& queue = activate(_team, _weight);
 	QueueItem paid = _item;
 	paid.cost = 0.0;
-	line.byPriority[_item.priority].push_front(paid);
-	account(line, paid);
+	queue.byPriority[_item.priority].push_front(paid);
+	recordAdded(queue, paid);
 }
 
 bool FairQueue::pop(QueueItem& _item)
@@ -68,34 +68,34 @@
 		return false;
 	}
 	const auto [start, idx] = *m_order.begin();
-	Line& line = m_lines[idx];
-	const auto first = line.byPriority.begin();
+	TeamQueue& queue = m_teamQueues[idx];
+	const auto first = queue.byPriority.begin();
 	_item = first->second.front();
 	first->second.pop_front();
 	if (first->second.empty())
 	{
-		line.byPriority.erase(first);
+		queue.byPriority.erase(first);
 	}
 	m_virtualTime = start;
 	m_order.erase(m_order.begin());
-	line.start = start + _item.cost / line.weight;
-	if (line.count > 1)
+	queue.startTag = start + _item.cost / queue.weight;
+	if (queue.count > 1)
 	{
-		m_order.emplace(line.start, idx);
+		m_order.emplace(queue.startTag, idx);
 	}
-	release(TeamHandle{idx}, line, _item);
+	recordRemoved(TeamHandle{idx}, queue, _item);
 	return true;
 }
 
 bool FairQueue::remove(TeamHandle _team, const QueueItem& _item)
 {
-	if (_team.idx >= m_lines.size())
+	if (_team.idx >= m_teamQueues.size())
 	{
 		return false;
 	}
-	Line& line = m_lines[_team.idx];
-	const auto level = line.byPriority.find(_item.priority);
-	if (line.byPriority.end() == level)
+	TeamQueue& queue = m_teamQueues[_team.idx];
+	const auto level = queue.byPriority.find(_item.priority);
+	if (queue.byPriority.end() == level)
 	{
 		return false;
 	}
@@ -110,9 +110,9 @@
 	items.erase(it);
 	if (items.empty())
 	{
-		line.byPriority.erase(level);
+		queue.byPriority.erase(level);
 	}
-	release(_team, line, removed);
+	recordRemoved(_team, queue, removed);
 	return true;
 }
 
@@ -123,7 +123,7 @@
 
 std::size_t FairQueue::size(TeamHandle _team) const
 {
-	return _team.idx < m_lines.size() ? m_lines[_team.idx].count : 0;
+	return _team.idx < m_teamQueues.size() ? m_teamQueues[_team.idx].count : 0;
 }
 
 double FairQueue::queuedCost() const
@@ -133,7 +133,7 @@
 
 double FairQueue::costAhead(TeamHandle _team, double _weight) const
 {
-	const Line* own = _team.idx < m_lines.size() ? &m_lines[_team.idx] : nullptr;
+	const TeamQueue* own = _team.idx < m_teamQueues.size() ? &m_teamQueues[_team.idx] : nullptr;
 	const double ownCost = nullptr == own ? 0.0 : own->cost;
 	const bool active = nullptr != own && 0 < own->count;
 	const double others = active ? m_activeWeight - _weight : m_activeWeight;
--- a/src/coordination/fairqueue.h
+++ b/src/coordination/fairqueue.h
@@ -4,9 +4,9 @@
 /// @file
 /// Weighted fair queue across teams, with priorities inside a team.
 ///
-/// Start-time fair queueing: every team has a virtual start time; the team with the
-/// smallest one is served next and its start moves on by cost / weight. A team that was
-/// idle starts at the queue's virtual time, so it neither owes nor has saved anything.
+/// Start-time fair queueing: every team has a start tag; the team with the smallest tag is served next,
+/// and its tag then increases by cost / weight. An idle team resumes at the queue's virtual time or later,
+/// so it gains no credit while it is idle.
 
 #ifndef BEACONGATE_COORDINATION_FAIRQUEUE_H
 #define BEACONGATE_COORDINATION_FAIRQUEUE_H
@@ -25,57 +25,57 @@
 {
 	RequestId request = 0;
 	double cost = 1.0; ///< Estimated tokens.
-	int priority = 0;  ///< Larger goes first within the team.
+	int priority = 0;  ///< Larger values are served first within the team.
 };
 
-/// Queue of one service.
+/// Weighted fair queue of one service.
 class FairQueue
 {
 public:
-	/// Adds a request at the end of its team's and priority's line.
+	/// Adds a request at the tail of its team's queue for its priority.
 	void push(TeamHandle _team, double _weight, const QueueItem& _item);
 
-	/// Puts a request back at the head of its line; it has been paid for already.
+	/// Returns a request to the head of its team's queue for its priority, at cost 0, since it was charged before.
 	void pushFront(TeamHandle _team, double _weight, const QueueItem& _item);
 
-	/// Takes the next request.
-	/// @param[out] _item The request; unchanged where the queue is empty.
-	/// @returns whether there was one.
+	/// Removes the next request.
+	/// @param[out] _item The request; unchanged if the queue is empty.
+	/// @returns true if there was one.
 	bool pop(QueueItem& _item);
 
-	/// Takes out one request wherever it stands.
-	/// @returns whether it was queued.
+	/// Removes one request at any position.
+	/// @returns true if it was queued.
 	bool remove(TeamHandle _team, const QueueItem& _item);
 
-	/// @returns number of queued requests, of all teams or of one.
+	/// @returns the number of queued requests, of all teams or of one.
 	std::size_t size() const;
 	std::size_t size(TeamHandle _team) const;
 
-	/// @returns estimated cost of everything queued, in tokens.
+	/// @returns the estimated cost of all queued requests, in tokens.
 	double queuedCost() const;
 
 	/// Estimates the cost that is served before a new request of a team.
 	/// @param[in] _weight The team's weight.
-	/// @remarks Counts the team's own queue at the share that its weight leaves it.
+	/// @remarks Divides the cost of the team's own queue by the team's share of the active weights.
 	double costAhead(TeamHandle _team, double _weight) const;
 
 private:
-	struct Line
+	struct TeamQueue
 	{
 		std::map<int, std::deque<QueueItem>, std::greater<>> byPriority;
 		std::size_t count = 0;
 		double cost = 0.0;
-		double start = 0.0;
+		double startTag = 0.0;
 		double weight = 1.0;
 	};
 	using StartOrder = std::set<std::pair<double, std::uint32_t>>;
 
-	Line& activate(TeamHandle _team, double _weight);
-	void account(Line& _line, const QueueItem& _item);
-	void release(TeamHandle _team, Line& _line, const QueueItem& _item);
+	TeamQueue& activate(TeamHandle _team, double _weight);
+	void recordAdded(TeamQueue& _queue, const QueueItem& _item);
+	void recordRemoved(TeamHandle _team, TeamQueue& _queue, const QueueItem& _item);
 
-	std::vector<Line> m_lines; ///< By team index.
-	StartOrder m_order;        ///< Lines that hold requests.
+	std::vector<TeamQueue> m_teamQueues; ///< By team index.
+	StartOrder m_order;                  ///< Start tags of the teams that have requests.
 	double m_virtualTime = 0.0;
 	double m_activeWeight = 0.0;
 	double m_cost = 0.0;
--- a/tests/fairqueuetest.cpp
+++ b/tests/fairqueuetest.cpp
@@ -12,7 +12,7 @@
 {
 namespace
 {
-/// Serves the queue until it is empty and gives the cost served by team, in order of service.
+/// @returns the items with their teams in the order in which the queue serves them until it is empty.
 std::vector<std::pair<std::uint32_t, QueueItem>> drain(FairQueue& _queue,
 													   const std::map<RequestId, std::uint32_t>& _teams)
 {
@@ -70,8 +70,8 @@
 	const double weightB = *rc::gen::inRange(1, 8);
 	FairQueue queue;
 	std::map<RequestId, std::uint32_t> teams;
-	constexpr int kEach = 2000;
-	for (int ii = 0; ii < kEach; ++ii)
+	constexpr int kRequestsPerTeam = 2000;
+	for (int ii = 0; ii < kRequestsPerTeam; ++ii)
 	{
 		const RequestId a = 2 * static_cast<RequestId>(ii) + 1;
 		teams[a] = 0;
@@ -81,36 +81,36 @@
 	}
 	std::map<std::uint32_t, double> cost;
 	QueueItem item;
-	for (int ii = 0; ii < kEach / 2; ++ii)
+	for (int ii = 0; ii < kRequestsPerTeam / 2; ++ii)
 	{
 		queue.pop(item);
 		cost[teams[item.request]] += item.cost;
 	}
-	// The difference of served cost over weight stays within one largest request of each team.
+	// The difference of served cost over weight is at most one largest request of each team.
 	const double gap = std::abs(cost[0] / weightA - cost[1] / weightB);
 	RC_ASSERT(gap <= 8.0 / weightA + 8.0 / weightB + 1e-6);
 }
 
-RC_GTEST_PROP(FairQueue, anIdleTeamNeitherOwesNorSaves, ())
+RC_GTEST_PROP(FairQueue, anIdleTeamGainsNoCreditAndNoDebt, ())
 {
 	FairQueue queue;
 	std::map<RequestId, std::uint32_t> teams;
 	RequestId next = 1;
-	const int surge = *rc::gen::inRange(1, 300);
-	for (int ii = 0; ii < surge; ++ii)
+	const int burst = *rc::gen::inRange(1, 300);
+	for (int ii = 0; ii < burst; ++ii)
 	{
 		teams[next] = 0;
 		queue.push(TeamHandle{0}, 1.0, QueueItem{next++, 10.0, 0});
 	}
 	QueueItem item;
-	const int before = *rc::gen::inRange(0, surge);
+	const int before = *rc::gen::inRange(0, burst);
 	for (int ii = 0; ii < before; ++ii)
 	{
 		queue.pop(item);
 	}
 	teams[next] = 1;
 	queue.push(TeamHandle{1}, 1.0, QueueItem{next, 10.0, 0});
-	// The newcomer waits for at most two requests of the team that surges.
+	// The new team waits for at most two requests of the backlogged team.
 	int waited = 0;
 	while (queue.pop(item) && 1 != teams[item.request])
 	{
