--- a/src/coordination/peertable.cpp
+++ b/src/coordination/peertable.cpp
@@ -37,15 +37,15 @@
 	peer.name = _message.run.name;
 	peer.incarnation = _message.run.incarnation;
 	peer.uptime = _message.uptime;
-	peer.newestStamp = std::max(peer.newestStamp, _message.sent);
+	peer.newestSent = std::max(peer.newestSent, _message.sent);
 	for (const std::string& host : _message.members)
 	{
 		if (host != m_ownHost)
 		{
-			m_mentioned[host] = _now;
+			m_reportedHosts[host] = _now;
 		}
 	}
-	const bool fresh = _message.echo > 0 && _message.echo <= _now && _now - _message.echo <= kFresh;
+	const bool fresh = _message.echo > 0 && _message.echo <= _now && _now - _message.echo <= kFreshSpan;
 	if (!fresh)
 	{
 		return false;
@@ -55,7 +55,7 @@
 	peer.configVersion = _message.configVersion;
 	if (_message.configAge < kSecond * 3600)
 	{
-		// The peer spoke after it had heard the echoed stamp, so its word is at least as new as that.
+		// The peer sent this after it received the echoed stamp, so its report is at least that recent.
 		peer.confirmed = std::max(peer.confirmed, _message.echo - _message.configAge);
 	}
 	return true;
@@ -65,7 +65,7 @@
 {
 	std::set<std::string> hosts = m_seeds;
 	hosts.insert(m_registered.begin(), m_registered.end());
-	for (const auto& [host, when] : m_mentioned)
+	for (const auto& [host, when] : m_reportedHosts)
 	{
 		if (_now - when <= kMemberTimeout)
 		{
@@ -98,7 +98,7 @@
 Micros PeerTable::echoFor(const std::string& _host) const
 {
 	const auto it = m_peers.find(_host);
-	return it == m_peers.end() ? 0 : it->second.newestStamp;
+	return it == m_peers.end() ? 0 : it->second.newestSent;
 }
 
 bool PeerTable::startedWithin(const std::string& _host, Micros _span) const
@@ -117,13 +117,13 @@
 	return hosts.size() + 1;
 }
 
-std::optional<std::string> PeerTable::newestConfigHost(Micros _moment, Micros _now) const
+std::optional<std::string> PeerTable::newestConfigHost(Micros _time, Micros _now) const
 {
 	std::optional<std::string> best;
-	Micros newest = _moment;
+	Micros newest = _time;
 	for (const auto& [host, peer] : m_peers)
 	{
-		if (_now - peer.heard <= kFresh && peer.confirmed > newest)
+		if (_now - peer.heard <= kFreshSpan && peer.confirmed > newest)
 		{
 			newest = peer.confirmed;
 			best = host;
--- a/src/coordination/peertable.h
+++ b/src/coordination/peertable.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The gateways that this one knows of, and what each of them believes of the store.
+/// Table of the other gateways, with the configuration version that each of them reported.
 
 #ifndef BEACONGATE_COORDINATION_PEERTABLE_H
 #define BEACONGATE_COORDINATION_PEERTABLE_H
@@ -17,60 +17,61 @@
 
 namespace beacongate
 {
-/// A peer by its host.
+/// State of one peer gateway.
 struct Peer
 {
 	std::string name;
 	std::uint64_t incarnation = 0;
-	Micros heard = kLongAgo;     ///< When a message came that was certainly new.
-	Micros newestStamp = 0;      ///< The newest `sent` of the peer, to be echoed.
-	Micros confirmed = kLongAgo; ///< When the peer's configuration was certainly the newest, on this clock.
+	Micros heard = kLongAgo; ///< Arrival of the last message that was proved to be recent.
+	Micros newestSent = 0;   ///< Largest `sent` of the peer's messages; echoed to it.
+	Micros confirmed =
+		kLongAgo; ///< Time at which the peer's configuration was confirmed as the newest, on this clock.
 	std::uint64_t configVersion = 0;
 	bool leaving = false;
-	Micros uptime = kNever; ///< As it last said.
+	Micros uptime = kNever; ///< As last reported.
 };
 
-/// Keeps peers.
+/// Table of peers, by host.
 class PeerTable
 {
 public:
-	/// A message is new for sure if it echoes something that was sent within this span.
-	static constexpr Micros kFresh = 1 * kSecond;
-	/// A peer that nobody has heard for longer is not counted as a member.
+	/// A message is proved to be recent if it echoes a stamp that was sent within this span.
+	static constexpr Micros kFreshSpan = 1 * kSecond;
+	/// A peer from which nothing was heard for longer is not counted as a member.
 	static constexpr Micros kMemberTimeout = 12 * kSecond;
 
-	/// @param[in] ownHost Never taken for a peer.
+	/// @param[in] ownHost Host of this gateway; it is never treated as a peer.
 	explicit PeerTable(std::string _ownHost) : m_ownHost(std::move(_ownHost))
 	{
 	}
 
-	/// Hosts that are always tried.
+	/// Sets the hosts that are always sent to.
 	void setSeeds(const std::vector<Address>& _seeds);
 
-	/// Hosts that the store lists.
+	/// Sets the hosts that the store lists.
 	void setRegistered(std::set<std::string> _hosts);
 
-	/// Takes in a message.
-	/// @returns whether it is new for sure.
+	/// Processes a message of a peer.
+	/// @returns true if it is proved to be recent.
 	bool onMessage(const GossipMessage& _message, Micros _now);
 
-	/// @returns hosts to send to.
+	/// @returns the hosts to send to.
 	std::vector<std::string> targets(Micros _now) const;
 
-	/// @returns hosts that were heard of late.
+	/// @returns the hosts heard from within kMemberTimeout.
 	std::vector<std::string> liveHosts(Micros _now) const;
 
-	/// @returns what is to be echoed to a host.
+	/// @returns the stamp to echo to a host, 0 if there is none.
 	Micros echoFor(const std::string& _host) const;
 
-	/// @returns whether a host says that it has started within a span.
+	/// @returns true if a host reported an uptime below the span.
 	bool startedWithin(const std::string& _host, Micros _span) const;
 
-	/// @returns the gateways there may be, this one included.
+	/// @returns the number of gateways registered or heard from, including this one.
 	std::size_t memberCount(Micros _now) const;
 
-	/// @returns the host whose configuration was confirmed last, if that is later than a moment.
-	std::optional<std::string> newestConfigHost(Micros _moment, Micros _now) const;
+	/// @returns the host whose configuration was confirmed last, if that was after the given time.
+	std::optional<std::string> newestConfigHost(Micros _time, Micros _now) const;
 
 	/// @returns all peers by host.
 	const std::map<std::string, Peer>& peers() const
@@ -82,7 +83,7 @@
 	std::string m_ownHost;
 	std::set<std::string> m_seeds;
 	std::set<std::string> m_registered;
-	std::map<std::string, Micros> m_mentioned;
+	std::map<std::string, Micros> m_reportedHosts;
 	std::map<std::string, Peer> m_peers;
 };
 
