--- a/tests/controltest.cpp
+++ b/tests/controltest.cpp
@@ -396,7 +396,7 @@
 	region.run(5 * kSecond);
 	ASSERT_TRUE(region.answers.contains(requestNumber));
 	EXPECT_TRUE(region.answers.at(requestNumber).ok);
-	EXPECT_EQ(1u, region.storedVersion()) << "done once";
+	EXPECT_EQ(1u, region.storedVersion()) << "applied once";
 	EXPECT_TRUE(region.allHave(1));
 }
 
@@ -451,7 +451,7 @@
 	region.storeMode = StoreMode::Down;
 	const std::uint64_t refused = region.change(2, "set team a weight 5");
 	region.run(2 * kSecond);
-	EXPECT_EQ(Failure::StoreUnavailable, region.answers.at(refused).failure) << "told at once";
+	EXPECT_EQ(Failure::StoreUnavailable, region.answers.at(refused).failure) << "reported at once";
 	region.vmList[0] = VmListItem{"v1", true, 30 * kSecond};
 	const Micros shown = region.now;
 	region.run(2 * kSecond);
@@ -464,7 +464,7 @@
 	EXPECT_TRUE(region.allHave(1));
 	const std::uint64_t before = region.reads;
 	region.run(600 * kSecond);
-	EXPECT_LT(region.reads - before, 4u * 600 / 5) << "a store that is down is not asked in a hurry";
+	EXPECT_LT(region.reads - before, 4u * 600 / 5) << "the store is read with backoff while it is down";
 	region.storeMode = StoreMode::Up;
 	const std::uint64_t accepted = region.change(3, "set team a weight 6");
 	region.run(30 * kSecond);
--- a/tests/hometabletest.cpp
+++ b/tests/hometabletest.cpp
@@ -92,7 +92,7 @@
 	home.adopt(sharedRoster(rosterOf({"a"})), {}, 0);
 	EXPECT_EQ(ClaimVerdict::Granted, home.onClaimRequest(claimRequest("b", 1, "k"), 0).verdict);
 	EXPECT_EQ(ClaimVerdict::Granted, home.onClaimRequest(claimRequest("b", 1, "k"), 0).verdict)
-		<< "the same ask again";
+		<< "the same request again";
 	const ClaimReply other = home.onClaimRequest(claimRequest("c", 1, "k"), 0);
 	EXPECT_EQ(ClaimVerdict::Held, other.verdict);
 	EXPECT_EQ(entry("b"), other.claim.executor.entry);
@@ -133,7 +133,7 @@
 	deliverSeals(a.adopt(sharedRoster(two), {}, 0), "a", "b", b);
 	b.onClaimUpdate(ClaimUpdate{key, ClaimRequestRef{entry("x"), 1}, ExecutionResult::NotStarted, {}});
 	ASSERT_EQ(ClaimVerdict::Granted, b.onClaimRequest(claimRequest("y", 1, key), 0).verdict)
-		<< "given back, so free";
+		<< "the claim was released";
 	// The newer claim has to win in both orders of the two seals.
 	HomeTable d = c;
 	const std::vector<Addressed> fromA = a.adopt(sharedRoster(three), {}, 0);
--- a/tests/streamtest.cpp
+++ b/tests/streamtest.cpp
@@ -347,7 +347,7 @@
 	EXPECT_TRUE(fleet.callers[exchange].finals.empty());
 	fleet.tick(200 * kMillisecond);
 	EXPECT_EQ(std::vector<Outcome>{Outcome::Unknown}, fleet.callers[exchange].finals)
-		<< "told before the process ends";
+		<< "reported before the process ends";
 }
 
 TEST(GivingUp, theFinalAnswerComesWithTheDecision)
