--- a/src/coordination/entryanswers.cpp
+++ b/src/coordination/entryanswers.cpp
@@ -79,14 +79,14 @@
 	m_out->push_back(AnswerFailure{_exchange, _failure, failureInfo(_failure).outcome, _detail, _retryAfter});
 }
 
-void EntryCore::conclude(Request& _request, ExecutionResult _fate)
+void EntryCore::conclude(Request& _request, ExecutionResult _result)
 {
 	const bool owns = _request.claimed || _request.handedOver;
 	_request.phase = Phase::Finished;
-	_request.fate = _fate;
+	_request.result = _result;
 	m_active -= 1;
-	m_stats.done += ExecutionResult::Done == _fate ? 1 : 0;
-	decide(_request, ExecutionResult::Done == _fate ? DecisionKind::Finished : DecisionKind::GivenUp, {}, 0,
+	m_stats.done += ExecutionResult::Done == _result ? 1 : 0;
+	decide(_request, ExecutionResult::Done == _result ? DecisionKind::Finished : DecisionKind::GivenUp, {}, 0,
 		   _request.tokens.size());
 	for (const Subscriber& subscriber : _request.subscribers)
 	{
@@ -94,7 +94,7 @@
 		m_byExchange.erase(subscriber.exchange);
 	}
 	_request.subscribers.clear();
-	m_byClaimNumber.erase(_request.ask);
+	m_byClaimNumber.erase(_request.claimNumber);
 	m_byAttach.erase(_request.attach);
 	m_ended.emplace_back(_request.id, _request.decisions);
 	if (m_ended.size() > limits::kExplainedRequests)
@@ -103,10 +103,10 @@
 	}
 	// A repeatable request whose fate is unknown gives its key back: it may run again.
 	const bool givesBack =
-		ExecutionResult::NotStarted == _fate || (ExecutionResult::Unknown == _fate && _request.repeatable);
+		ExecutionResult::NotStarted == _result || (ExecutionResult::Unknown == _result && _request.repeatable);
 	if (_request.claimed)
 	{
-		reportResult(_request, givesBack ? ExecutionResult::NotStarted : _fate);
+		reportResult(_request, givesBack ? ExecutionResult::NotStarted : _result);
 	}
 	if (!owns || givesBack)
 	{
@@ -122,7 +122,7 @@
 	{
 		AttachEnd end;
 		end.attach = _subscriber.attach;
-		end.fate = _request.fate;
+		end.result = _request.result;
 		end.kept = _request.answer.has_value();
 		end.tokenCount = _request.tokens.size();
 		if (end.kept)
@@ -132,7 +132,7 @@
 		sendPeer(_subscriber.peer, std::move(end));
 		return;
 	}
-	if (ExecutionResult::Done != _request.fate)
+	if (ExecutionResult::Done != _request.result)
 	{
 		return; // fail() has answered.
 	}
--- a/src/coordination/entryclaims.cpp
+++ b/src/coordination/entryclaims.cpp
@@ -26,9 +26,9 @@
 void EntryCore::requestClaim(Request& _request)
 {
 	_request.phase = Phase::AwaitClaim;
-	m_byClaimNumber.erase(_request.ask);
-	_request.ask = m_nextClaimNumber++;
-	m_byClaimNumber.emplace(_request.ask, _request.id);
+	m_byClaimNumber.erase(_request.claimNumber);
+	_request.claimNumber = m_nextClaimNumber++;
+	m_byClaimNumber.emplace(_request.claimNumber, _request.id);
 	if (m_byKey.size() >= limits::kClaims)
 	{
 		abandonClaim(_request, Failure::ClaimsFull);
@@ -69,26 +69,26 @@
 	{
 		return;
 	}
-	ClaimRequest ask;
-	ask.ask = ClaimRequestRef{m_settings.self, _request.ask};
-	ask.key = _request.key;
-	ask.digest = _request.digest;
-	ask.rosterVersion = roster->version;
-	ask.issuedVersion = _request.issuedVersion;
-	ask.released = _request.released;
+	ClaimRequest claimRequest;
+	claimRequest.requestRef = ClaimRequestRef{m_settings.self, _request.claimNumber};
+	claimRequest.key = _request.key;
+	claimRequest.digest = _request.digest;
+	claimRequest.rosterVersion = roster->version;
+	claimRequest.issuedVersion = _request.issuedVersion;
+	claimRequest.released = _request.released;
 	decide(_request, DecisionKind::AskedHome, home->entry.id);
 	if (home->entry == m_settings.self)
 	{
-		ClaimReply reply = m_home.ask(ask, m_now);
+		ClaimReply reply = m_home.onClaimRequest(claimRequest, m_now);
 		onPeer(m_settings.self, reply);
 		return;
 	}
-	sendPeer(home->entry, std::move(ask));
+	sendPeer(home->entry, std::move(claimRequest));
 }
 
 void EntryCore::abandonClaim(Request& _request, Failure _failure)
 {
-	m_byClaimNumber.erase(_request.ask);
+	m_byClaimNumber.erase(_request.claimNumber);
 	if (_request.repeatable)
 	{
 		// The claim only saves work here; the request may run without it.
@@ -102,21 +102,21 @@
 
 void EntryCore::onPeer(const EntryRef& _from, ClaimRequest& _message)
 {
-	sendPeer(_from, m_home.ask(_message, m_now));
+	sendPeer(_from, m_home.onClaimRequest(_message, m_now));
 }
 
 void EntryCore::onPeer(const EntryRef& _from, ClaimReply& _message)
 {
-	const auto it = m_byClaimNumber.find(_message.ask.number);
-	if (m_byClaimNumber.end() == it || _message.ask.entry != m_settings.self)
+	const auto it = m_byClaimNumber.find(_message.requestRef.number);
+	if (m_byClaimNumber.end() == it || _message.requestRef.entry != m_settings.self)
 	{
 		// The ask was given up: nothing will start under it, so the grant goes back.
-		if (ClaimVerdict::Granted == _message.verdict && _message.ask.entry == m_settings.self)
+		if (ClaimVerdict::Granted == _message.verdict && _message.requestRef.entry == m_settings.self)
 		{
 			const Request* owner = findByKey(_message.key);
-			if (nullptr == owner || owner->ask != _message.ask.number)
+			if (nullptr == owner || owner->claimNumber != _message.requestRef.number)
 			{
-				sendPeer(_from, ClaimUpdate{_message.key, _message.ask, ExecutionResult::NotStarted, {}});
+				sendPeer(_from, ClaimUpdate{_message.key, _message.requestRef, ExecutionResult::NotStarted, {}});
 			}
 		}
 		return;
@@ -161,7 +161,7 @@
 	if (_claim.executor.entry == m_settings.self)
 	{
 		Request* executing = findByKey(_request.key);
-		if (nullptr != executing && executing->ask == _claim.executor.number)
+		if (nullptr != executing && executing->claimNumber == _claim.executor.number)
 		{
 			joinLocal(_request, *executing);
 			return;
@@ -188,7 +188,7 @@
 
 void EntryCore::attachTo(Request& _request, const ClaimRequestRef& _executor)
 {
-	m_byClaimNumber.erase(_request.ask);
+	m_byClaimNumber.erase(_request.claimNumber);
 	_request.phase = Phase::Attached;
 	_request.executor = _executor;
 	_request.attach = m_nextAttach++;
@@ -213,13 +213,13 @@
 			subscribe(_executing, subscriber);
 		}
 		_request.subscribers.clear();
-		m_byClaimNumber.erase(_request.ask);
+		m_byClaimNumber.erase(_request.claimNumber);
 		m_active -= 1;
 		erase(_request);
 		deliver(_executing);
 		return;
 	}
-	if (ExecutionResult::Done != _executing.fate)
+	if (ExecutionResult::Done != _executing.result)
 	{
 		fail(_request, Failure::OutcomeUnknown, Outcome::Unknown, "this key ran and its outcome is not known");
 		return;
@@ -250,12 +250,12 @@
 	auto kept = std::make_unique<Request>();
 	kept->id = kHandedOverBit | own.number;
 	kept->key = _message.key;
-	kept->ask = own.number;
+	kept->claimNumber = own.number;
 	kept->claimed = true;
 	kept->arrived = m_now;
 	kept->digest = m_home.digestOf(_message.key);
 	kept->phase = Phase::Finished;
-	kept->fate = ExecutionResult::Done;
+	kept->result = ExecutionResult::Done;
 	for (const std::string& token : _message.answer->tokens)
 	{
 		kept->tokens.append(token);
@@ -292,14 +292,14 @@
 		return;
 	}
 	Request* request = findByKey(_message.key);
-	if (nullptr == request || request->ask != _message.executor.number)
+	if (nullptr == request || request->claimNumber != _message.executor.number)
 	{
 		const auto waiting = m_byClaimNumber.find(_message.executor.number);
 		request = m_byClaimNumber.end() == waiting ? nullptr : m_requests.at(waiting->second).get();
 	}
 	if (nullptr == request)
 	{
-		end.fate = ExecutionResult::NotStarted;
+		end.result = ExecutionResult::NotStarted;
 		sendPeer(_from, std::move(end));
 		return;
 	}
@@ -348,7 +348,7 @@
 		m_stats.framesDropped += 1;
 		return;
 	}
-	if (ExecutionResult::NotStarted == _message.fate)
+	if (ExecutionResult::NotStarted == _message.result)
 	{
 		m_byAttach.erase(request->attach);
 		request->released = request->executor;
@@ -356,7 +356,7 @@
 		requestClaim(*request);
 		return;
 	}
-	if (ExecutionResult::Unknown == _message.fate)
+	if (ExecutionResult::Unknown == _message.result)
 	{
 		fail(*request, Failure::OutcomeUnknown, Outcome::Unknown, "this key ran and its outcome is not known");
 		return;
@@ -374,9 +374,9 @@
 	conclude(*request, ExecutionResult::Done);
 }
 
-void EntryCore::reportResult(const Request& _request, ExecutionResult _fate)
+void EntryCore::reportResult(const Request& _request, ExecutionResult _result)
 {
-	const ClaimUpdate update{_request.key, ClaimRequestRef{m_settings.self, _request.ask}, _fate, {}};
+	const ClaimUpdate update{_request.key, ClaimRequestRef{m_settings.self, _request.claimNumber}, _result, {}};
 	const std::shared_ptr<const Roster>& roster = m_home.roster();
 	const RosterMember* home = nullptr == roster ? nullptr : homeOf(_request.key, *roster);
 	m_home.update(update);
@@ -401,11 +401,11 @@
 	for (const auto& [key, id] : m_byKey)
 	{
 		const Request& request = *m_requests.at(id);
-		Claim claim{key, request.digest, ClaimRequestRef{m_settings.self, request.ask}, ClaimState::Granted,
+		Claim claim{key, request.digest, ClaimRequestRef{m_settings.self, request.claimNumber}, ClaimState::Granted,
 					request.claimGeneration};
 		if (Phase::Finished == request.phase)
 		{
-			claim.state = ExecutionResult::Done == request.fate ? ClaimState::Done : ClaimState::Unknown;
+			claim.state = ExecutionResult::Done == request.result ? ClaimState::Done : ClaimState::Unknown;
 		}
 		claims.push_back(std::move(claim));
 	}
@@ -425,11 +425,11 @@
 	{
 		const Request& request = *m_requests.at(id);
 		const RosterMember* home = homeOf(key, *roster);
-		if (nullptr == home || ExecutionResult::Done != request.fate || !request.answer.has_value())
+		if (nullptr == home || ExecutionResult::Done != request.result || !request.answer.has_value())
 		{
 			continue;
 		}
-		ClaimUpdate update{key, ClaimRequestRef{m_settings.self, request.ask}, ExecutionResult::Done,
+		ClaimUpdate update{key, ClaimRequestRef{m_settings.self, request.claimNumber}, ExecutionResult::Done,
 						   request.answer};
 		update.answer->tokens = request.tokens.from(0);
 		sendPeer(home->entry, std::move(update));
--- a/src/coordination/entryhandover.cpp
+++ b/src/coordination/entryhandover.cpp
@@ -103,7 +103,7 @@
 	handover.callerKey = _request.callerKey;
 	if (_request.claimed)
 	{
-		handover.released = ClaimRequestRef{m_settings.self, _request.ask};
+		handover.released = ClaimRequestRef{m_settings.self, _request.claimNumber};
 	}
 	handover.payload = *_request.payload;
 	handover.tokens = _request.tokens.from(0);
--- a/src/coordination/peermessages.h
+++ b/src/coordination/peermessages.h
@@ -62,7 +62,7 @@
 /// Asker to home: may I run this key?
 struct ClaimRequest
 {
-	ClaimRequestRef ask;
+	ClaimRequestRef requestRef;
 	std::string key;
 	std::uint64_t digest = 0;
 	std::uint64_t rosterVersion = 0;
@@ -85,7 +85,7 @@
 /// Home to asker.
 struct ClaimReply
 {
-	ClaimRequestRef ask;
+	ClaimRequestRef requestRef;
 	std::string key;
 	ClaimVerdict verdict = ClaimVerdict::NotReady;
 	Claim claim;
@@ -105,7 +105,7 @@
 {
 	std::string key;
 	ClaimRequestRef executor;
-	ExecutionResult fate = ExecutionResult::Unknown;
+	ExecutionResult result = ExecutionResult::Unknown;
 	std::optional<KeptAnswer> answer;
 };
 
@@ -144,7 +144,7 @@
 struct AttachEnd
 {
 	std::uint64_t attach = 0;
-	ExecutionResult fate = ExecutionResult::Unknown;
+	ExecutionResult result = ExecutionResult::Unknown;
 	bool kept = false; ///< Whether `answer` holds the answer (plain) or the tokens were sent (model).
 	KeptAnswer answer;
 	std::uint64_t tokenCount = 0; ///< All tokens of a model's answer, to detect a lost message.
--- a/src/coordination/request.h
+++ b/src/coordination/request.h
@@ -89,7 +89,7 @@
 	BlockChain chain;
 
 	Phase phase = Phase::Queued;
-	std::uint64_t ask = 0; ///< Number of the ask under which it may run, 0 for none.
+	std::uint64_t claimNumber = 0; ///< Number of the ask under which it may run, 0 for none.
 	bool claimed = false;
 	bool handedOver = false; ///< Another entry gave it to this one.
 	std::string callerKey;   ///< Key under which its caller can come back.
@@ -111,7 +111,7 @@
 
 	TokenLog tokens;
 	std::vector<Subscriber> subscribers;
-	ExecutionResult fate = ExecutionResult::Unknown; ///< Finished: how.
+	ExecutionResult result = ExecutionResult::Unknown; ///< Finished: how.
 	std::optional<KeptAnswer> answer;
 	std::vector<Decision> decisions;
 };
--- a/src/daemon/backendadapter.cpp
+++ b/src/daemon/backendadapter.cpp
@@ -163,7 +163,7 @@
 	}
 	if (!findHeader(_answer.headers, kNotAcceptedHeader).empty())
 	{
-		fail(_id, AttemptFault::Fenced);
+		fail(_id, AttemptFault::NotAccepted);
 		return;
 	}
 	const Attempt& attempt = it->second;
