--- a/tests/gatewaycoretest.cpp
+++ b/tests/gatewaycoretest.cpp
@@ -45,7 +45,7 @@
 	EXPECT_TRUE(GossipPlan::sectionsFor("a", "a", true, 3).usage);
 	EXPECT_FALSE(GossipPlan::sectionsFor("b", "a", true, 3).usage);
 	EXPECT_FALSE(GossipPlan::sectionsFor("a", "a", true, 3).members);
-	EXPECT_TRUE(GossipPlan::sectionsFor("b", std::nullopt, true, 3).usage) << "nobody is known to hold the duties";
+	EXPECT_TRUE(GossipPlan::sectionsFor("b", std::nullopt, true, 3).usage) << "no duty holder is known";
 	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", true, 0).usage);
 	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", false, 3).usage) << "all are reached in each round";
 	EXPECT_TRUE(GossipPlan::sectionsFor("b", "a", true, GossipPlan::kFullReportRounds).members);
