--- a/src/gateway/dutyholder.h
+++ b/src/gateway/dutyholder.h
@@ -58,8 +58,7 @@
 	void sendWindow(std::uint64_t _window, const std::map<std::string, std::uint64_t>& _counts);
 	void orderCapacity(Micros _now);
 	void orderCapacityFor(const PooledService& _service, Micros _now);
-	CapacityPlanner::Need needOf(const PooledService& _service, unsigned _standing, unsigned _onDemand,
-								 Micros _now);
+	CapacityPlanner::Need needOf(const PooledService& _service, unsigned _servers, unsigned _onDemand, Micros _now);
 	void sendOrder(const std::string& _service, const CapacityOrder& _order);
 	std::uint64_t revisionOf(const std::string& _key) const;
 
@@ -83,8 +82,8 @@
 	Micros m_countsStoredAt = kLongAgo;
 	bool m_storingCounts = false;
 	std::map<std::string, CapacityPlanner> m_planners;
-	std::map<std::string, InitialListing> m_startListings;
-	std::size_t m_openOrders = 0;
+	std::map<std::string, InitialListing> m_initialListings;
+	std::size_t m_pendingOrders = 0;
 };
 
 } // namespace beacongate
--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -23,7 +23,7 @@
 
 Json encode(const ClaimRequestRef& _ask)
 {
-	return Json::array({_ask.entry.id, _ask.entry.incarnation, _ask.number});
+	return Json::array({_requestRef.entry.id, _requestRef.entry.incarnation, _requestRef.number});
 }
 
 ClaimRequestRef decodeAsk(const Json& _json)
@@ -55,7 +55,7 @@
 	Claim claim;
 	claim.key = _json.at("k").get<std::string>();
 	claim.digest = _json.at("d").get<std::uint64_t>();
-	claim.executor = decodeAsk(_json.at("x"));
+	claim.executor = decodeClaimRequestRef(_json.at("x"));
 	claim.state = decodeEnum(_json.at("s"), ClaimState::Released);
 	claim.generation = _json.at("g").get<std::uint64_t>();
 	return claim;
@@ -113,11 +113,11 @@
 	return answer;
 }
 
-Json encodeMessage(const ClaimRequest& _message)
+Json encodeMessage(const ClaimRequest& _m)
 {
-	Json json{{"t", "ask"},           {"ask", encode(_message.ask)}, {"k", _message.key},
-			  {"d", _message.digest}, {"v", _message.rosterVersion}, {"i", _message.issuedVersion}};
-	if (_message.released)
+	Json json{{"t", "ask"},     {"ask", encode(_m.requestRef)}, {"k", _m.key},
+			  {"d", _m.digest}, {"v", _m.rosterVersion},        {"i", _m.issuedVersion}};
+	if (_m.released)
 	{
 		json["r"] = encode(*_message.released);
 	}
@@ -126,21 +126,15 @@
 
 Json encodeMessage(const ClaimReply& _message)
 {
-	return {{"t", "reply"},
-			{"ask", encode(_message.ask)},
-			{"k", _message.key},
-			{"w", static_cast<int>(_message.verdict)},
-			{"c", encode(_message.claim)},
-			{"v", _message.rosterVersion}};
+	return {{"t", "reply"},          {"ask", encode(_m.requestRef)},
+			{"k", _m.key},           {"w", static_cast<int>(_m.verdict)},
+			{"c", encode(_m.claim)}, {"v", _m.rosterVersion}};
 }
 
 Json encodeMessage(const ClaimUpdate& _message)
 {
-	Json json{{"t", "update"},
-			  {"k", _message.key},
-			  {"x", encode(_message.executor)},
-			  {"f", static_cast<int>(_message.fate)}};
-	if (_message.answer)
+	Json json{{"t", "update"}, {"k", _m.key}, {"x", encode(_m.executor)}, {"f", static_cast<int>(_m.result)}};
+	if (_m.answer)
 	{
 		json["a"] = encode(*_message.answer);
 	}
@@ -162,7 +156,7 @@
 	return {{"t", "sealed"}, {"v", _message.version}};
 }
 
-Json encodeMessage(const AttachRequest& _message)
+Json encodeMessage(const AttachRequest& _m)
 {
 	return {{"t", "attach"},
 			{"n", _message.attach},
@@ -178,12 +172,8 @@
 
 Json encodeMessage(const AttachEnd& _message)
 {
-	return {{"t", "end"},
-			{"n", _message.attach},
-			{"f", static_cast<int>(_message.fate)},
-			{"kept", _message.kept},
-			{"a", encode(_message.answer)},
-			{"c", _message.tokenCount}};
+	return {{"t", "end"},      {"n", _m.attach},         {"f", static_cast<int>(_m.result)},
+			{"kept", _m.kept}, {"a", encode(_m.answer)}, {"c", _m.tokenCount}};
 }
 
 Json encodeMessage(const RequestHandover& _message)
@@ -236,30 +226,30 @@
 	handover.deadlineLeft = _json.at("left").get<Micros>();
 	if (_json.contains("r"))
 	{
-		handover.released = decodeAsk(_json.at("r"));
+		handover.released = decodeClaimRequestRef(_json.at("r"));
 	}
 	return handover;
 }
 
 ClaimRequest decodeClaimAsk(const Json& _json)
 {
-	ClaimRequest ask;
-	ask.ask = decodeAsk(_json.at("ask"));
-	ask.key = _json.at("k").get<std::string>();
-	ask.digest = _json.at("d").get<std::uint64_t>();
-	ask.rosterVersion = _json.at("v").get<std::uint64_t>();
-	ask.issuedVersion = _json.at("i").get<std::uint64_t>();
+	ClaimRequest request;
+	request.requestRef = decodeAsk(_json.at("ask"));
+	request.key = _json.at("k").get<std::string>();
+	request.digest = _json.at("d").get<std::uint64_t>();
+	request.rosterVersion = _json.at("v").get<std::uint64_t>();
+	request.issuedVersion = _json.at("i").get<std::uint64_t>();
 	if (_json.contains("r"))
 	{
-		ask.released = decodeAsk(_json.at("r"));
+		request.released = decodeAsk(_json.at("r"));
 	}
-	return ask;
+	return request;
 }
 
 ClaimReply decodeClaimReply(const Json& _json)
 {
 	ClaimReply reply;
-	reply.ask = decodeAsk(_json.at("ask"));
+	reply.requestRef = decodeAsk(_json.at("ask"));
 	reply.key = _json.at("k").get<std::string>();
 	reply.verdict = decodeEnum(_json.at("w"), ClaimVerdict::Mismatch);
 	reply.claim = decodeClaim(_json.at("c"));
@@ -272,7 +262,7 @@
 	ClaimUpdate update;
 	update.key = _json.at("k").get<std::string>();
 	update.executor = decodeAsk(_json.at("x"));
-	update.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
+	update.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	if (_json.contains("a"))
 	{
 		update.answer = decodeAnswer(_json.at("a"));
@@ -293,12 +283,12 @@
 
 AttachRequest decodeAttachAsk(const Json& _json)
 {
-	AttachRequest ask;
-	ask.attach = _json.at("n").get<std::uint64_t>();
-	ask.key = _json.at("k").get<std::string>();
-	ask.executor = decodeAsk(_json.at("x"));
-	ask.offset = _json.at("o").get<std::uint64_t>();
-	return ask;
+	AttachRequest request;
+	request.attach = _json.at("n").get<std::uint64_t>();
+	request.key = _json.at("k").get<std::string>();
+	request.executor = decodeAsk(_json.at("x"));
+	request.offset = _json.at("o").get<std::uint64_t>();
+	return request;
 }
 
 AttachTokens decodeAttachTokens(const Json& _json)
@@ -314,7 +304,7 @@
 {
 	AttachEnd end;
 	end.attach = _json.at("n").get<std::uint64_t>();
-	end.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
+	end.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	end.kept = _json.at("kept").get<bool>();
 	end.answer = decodeAnswer(_json.at("a"));
 	end.tokenCount = _json.at("c").get<std::uint64_t>();
@@ -326,7 +316,7 @@
 	const std::string type = _json.at("t").get<std::string>();
 	if ("ask" == type)
 	{
-		return decodeClaimAsk(_json);
+		return decodeClaimRequest(_json);
 	}
 	if ("reply" == type)
 	{
@@ -346,7 +336,7 @@
 	}
 	if ("attach" == type)
 	{
-		return decodeAttachAsk(_json);
+		return decodeAttachRequest(_json);
 	}
 	if ("tokens" == type)
 	{
--- a/tests/gatewayprotocoltest.cpp
+++ b/tests/gatewayprotocoltest.cpp
@@ -36,7 +36,8 @@
 	std::string unparsed;
 };
 
-/// Parses bytes in pieces whose sizes are taken from a list, repeatedly and modulo 40.
+/// Parses bytes in pieces of 1 to 40 bytes, whose sizes follow from the list in turn; an empty list gives one
+/// piece.
 ParseResult parse(MessageKind _kind, const std::string& _bytes, const std::vector<std::uint8_t>& _sizes = {},
 				  std::size_t _bodyLimit = kBodyLimit)
 {
@@ -239,7 +240,7 @@
 	EXPECT_LT(bytes.size(), 4'096u);
 	const auto decoded = decodeGossip(bytes);
 	ASSERT_TRUE(decoded);
-	EXPECT_EQ(decoded->loads[0].inFlight, 255u) << "what does not fit is told as the most that fits";
+	EXPECT_EQ(decoded->loads[0].inFlight, 255u) << "a count that does not fit is encoded as the largest value";
 }
 
 RC_GTEST_PROP(GossipCodec, rejectsTruncatedMessages, (const std::string& bytes))
