--- a/tests/readersharetest.cpp
+++ b/tests/readersharetest.cpp
@@ -38,7 +38,8 @@
 	EXPECT_GT(all, secondsOf(DrainBudget(kDrainBound).maxListAge));
 	const std::size_t readers = readersOf(302, kBytes);
 	EXPECT_GE(readers, 8U);
-	EXPECT_LT(static_cast<double>(readers * kBytes) / kStoreLink, secondsOf(DrainBudget(kDrainBound).overlap));
+	EXPECT_LT(static_cast<double>(readers * kBytes) / kStoreLink,
+			  secondsOf(DrainBudget(kDrainBound).secondReadDelay));
 }
 
 TEST(ReaderShare, smallerFleetsReadWithoutABound)
