--- a/src/coordination/hometable.cpp
+++ b/src/coordination/hometable.cpp
@@ -11,10 +11,10 @@
 {
 namespace
 {
-/// Rosters remembered to prove that a key's home did not change.
-constexpr std::size_t kEpochsKept = 64;
-/// Versions ahead of ours whose seals are remembered.
-constexpr std::size_t kEarlySealsKept = 16;
+/// Adopted rosters kept, to prove that a key's home did not change.
+constexpr std::size_t kMaxEpochs = 64;
+/// Versions newer than the one in force whose seals are kept.
+constexpr std::size_t kMaxEarlySealVersions = 16;
 } // namespace
 
 HomeTable::HomeTable(EntryRef _self) : m_self(std::move(_self))
@@ -30,7 +30,7 @@
 		return {};
 	}
 	m_epochs.push_back(Epoch{_roster, false});
-	if (m_epochs.size() > kEpochsKept)
+	if (m_epochs.size() > kMaxEpochs)
 	{
 		m_epochs.erase(m_epochs.begin());
 	}
@@ -39,7 +39,7 @@
 	{
 		if (isHome(claim.key, *_roster))
 		{
-			take(claim, _now);
+			mergeClaim(claim, _now);
 		}
 	}
 	markShared();
@@ -66,31 +66,31 @@
 	return unconfirmedSeals();
 }
 
-ClaimReply HomeTable::ask(const ClaimRequest& _ask, Micros _now)
+ClaimReply HomeTable::onClaimRequest(const ClaimRequest& _request, Micros _now)
 {
 	ClaimReply reply;
-	reply.ask = _ask.ask;
-	reply.key = _ask.key;
+	reply.requestRef = _request.requestRef;
+	reply.key = _request.key;
 	reply.rosterVersion = m_epochs.empty() ? 0 : m_epochs.back().roster->version;
-	if (m_epochs.empty() || _ask.issuedVersion > reply.rosterVersion)
+	if (m_epochs.empty() || _request.issuedVersion > reply.rosterVersion)
 	{
 		reply.verdict = ClaimVerdict::NotReady;
 		return reply;
 	}
-	if (!isHome(_ask.key, *m_epochs.back().roster))
+	if (!isHome(_request.key, *m_epochs.back().roster))
 	{
 		reply.verdict = ClaimVerdict::NotHome;
 		return reply;
 	}
-	if (!isEstablished(_ask.key))
+	if (!isEstablished(_request.key))
 	{
 		reply.verdict = ClaimVerdict::NotReady;
 		return reply;
 	}
-	const auto known = m_claims.find(_ask.key);
+	const auto known = m_claims.find(_request.key);
 	if (m_claims.end() == known)
 	{
-		if (isSuspect(_ask))
+		if (isSuspect(_request))
 		{
 			reply.verdict = ClaimVerdict::Suspect;
 			return reply;
@@ -100,66 +100,66 @@
 			reply.verdict = ClaimVerdict::Full;
 			return reply;
 		}
-		return grant(_ask, reply, 0, _now);
+		return grant(_request, reply, 0, _now);
 	}
 	const Claim& claim = known->second.claim;
 	reply.claim = claim;
-	if (claim.digest != _ask.digest)
+	if (claim.digest != _request.digest)
 	{
 		reply.verdict = ClaimVerdict::Mismatch;
 		return reply;
 	}
-	if (!isFree(claim, _ask))
+	if (!isFree(claim, _request))
 	{
-		const bool again = claim.executor == _ask.ask && ClaimState::Granted == claim.state;
-		reply.verdict = again ? ClaimVerdict::Granted : ClaimVerdict::Held;
+		const bool repeated = claim.executor == _request.requestRef && ClaimState::Granted == claim.state;
+		reply.verdict = repeated ? ClaimVerdict::Granted : ClaimVerdict::Held;
 		return reply;
 	}
-	if (isSuspect(_ask))
+	if (isSuspect(_request))
 	{
-		// A copy of a claim may be older than a grant that a lost home made since.
+		// The copy of the claim may be older than a later grant by a lost home.
 		reply.verdict = ClaimVerdict::Suspect;
 		return reply;
 	}
-	return grant(_ask, reply, claim.generation + 1, _now);
+	return grant(_request, reply, claim.generation + 1, _now);
 }
 
-ClaimReply HomeTable::grant(const ClaimRequest& _ask, ClaimReply _reply, std::uint64_t _generation, Micros _now)
+ClaimReply HomeTable::grant(const ClaimRequest& _request, ClaimReply _reply, std::uint64_t _generation, Micros _now)
 {
-	const auto [it, added] = m_claims.try_emplace(_ask.key);
+	const auto [it, added] = m_claims.try_emplace(_request.key);
 	if (added)
 	{
-		m_expiry.emplace_back(_now + limits::kClaimWindow, _ask.key);
+		m_expiry.emplace_back(_now + limits::kClaimWindow, _request.key);
 	}
-	Kept& kept = it->second;
-	kept.claim = Claim{_ask.key, _ask.digest, _ask.ask, ClaimState::Granted, _generation};
-	_reply.claim = kept.claim;
+	ClaimRecord& record = it->second;
+	record.claim = Claim{_request.key, _request.digest, _request.requestRef, ClaimState::Granted, _generation};
+	_reply.claim = record.claim;
 	_reply.verdict = ClaimVerdict::Granted;
 	return _reply;
 }
 
-void HomeTable::update(const ClaimUpdate& _update)
+void HomeTable::onClaimUpdate(const ClaimUpdate& _update)
 {
 	const auto known = m_claims.find(_update.key);
 	if (m_claims.end() == known || known->second.claim.executor != _update.executor)
 	{
 		return;
 	}
-	Kept& kept = known->second;
-	switch (_update.fate)
+	ClaimRecord& record = known->second;
+	switch (_update.result)
 	{
 	case ExecutionResult::NotStarted:
-		kept.claim.state = ClaimState::Released;
-		if (!kept.shared)
+		record.claim.state = ClaimState::Released;
+		if (!record.shared)
 		{
 			m_claims.erase(known);
 		}
 		break;
 	case ExecutionResult::Done:
-		kept.claim.state = ClaimState::Done;
+		record.claim.state = ClaimState::Done;
 		break;
 	case ExecutionResult::Unknown:
-		kept.claim.state = ClaimState::Unknown;
+		record.claim.state = ClaimState::Unknown;
 		break;
 	}
 }
@@ -176,12 +176,12 @@
 	return true;
 }
 
-bool HomeTable::seal(const EntryRef& _from, const Seal& _seal, Micros _now)
+bool HomeTable::onSeal(const EntryRef& _from, const Seal& _seal, Micros _now)
 {
 	const std::uint64_t own = m_epochs.empty() ? 0 : m_epochs.back().roster->version;
 	for (const Claim& claim : _seal.claims)
 	{
-		take(claim, _now);
+		mergeClaim(claim, _now);
 	}
 	if (_seal.version < own)
 	{
@@ -190,7 +190,7 @@
 	if (_seal.version > own)
 	{
 		m_earlySeals[_seal.version].insert(_from);
-		if (m_earlySeals.size() > kEarlySealsKept)
+		if (m_earlySeals.size() > kMaxEarlySealVersions)
 		{
 			m_earlySeals.erase(m_earlySeals.begin());
 		}
@@ -210,7 +210,7 @@
 	}
 }
 
-void HomeTable::sealAcked(const EntryRef& _from, std::uint64_t _version)
+void HomeTable::onSealAck(const EntryRef& _from, std::uint64_t _version)
 {
 	if (!m_epochs.empty() && m_epochs.back().roster->version == _version)
 	{
@@ -224,7 +224,7 @@
 	{
 		return {};
 	}
-	// One pass over the claims: a home costs a hash per member, and there may be many claims.
+	// A single pass over the claims, since finding a home hashes once per member and there may be many claims.
 	const Roster& roster = *m_epochs.back().roster;
 	std::map<EntryRef, Seal> byHome;
 	for (const EntryRef& entry : m_acksMissing)
@@ -240,9 +240,9 @@
 			it->second.claims.push_back(_claim);
 		}
 	};
-	for (const auto& [key, kept] : m_claims)
+	for (const auto& [key, record] : m_claims)
 	{
-		add(kept.claim);
+		add(record.claim);
 	}
 	std::for_each(m_executed.begin(), m_executed.end(), add);
 	std::vector<Addressed> seals;
@@ -265,11 +265,11 @@
 	{
 		return;
 	}
-	for (auto& [key, kept] : m_claims)
+	for (auto& [key, record] : m_claims)
 	{
-		if (ClaimState::Granted == kept.claim.state && lost.contains(kept.claim.executor.entry))
+		if (ClaimState::Granted == record.claim.state && lost.contains(record.claim.executor.entry))
 		{
-			kept.claim.state = ClaimState::Unknown;
+			record.claim.state = ClaimState::Unknown;
 		}
 	}
 }
@@ -304,9 +304,9 @@
 std::size_t HomeTable::bytes() const
 {
 	std::size_t sum = 0;
-	for (const auto& [key, kept] : m_claims)
+	for (const auto& [key, record] : m_claims)
 	{
-		sum += sizeof(Kept) + 2 * key.capacity() + kept.claim.executor.entry.id.capacity();
+		sum += sizeof(ClaimRecord) + 2 * key.capacity() + record.claim.executor.entry.id.capacity();
 	}
 	return sum;
 }
@@ -338,14 +338,14 @@
 	return false;
 }
 
-bool HomeTable::isSuspect(const ClaimRequest& _ask) const
+bool HomeTable::isSuspect(const ClaimRequest& _request) const
 {
 	const Roster& roster = *m_epochs.back().roster;
 	for (const LostMember& lost : roster.lost)
 	{
-		const bool issuedAfter = _ask.issuedVersion >= lost.lostVersion;
-		if (!issuedAfter && mayHaveBeenHome(_ask.key, lost, roster) &&
-			!isOwnedSinceBefore(_ask.key, lost.lostVersion))
+		const bool issuedAfter = _request.issuedVersion >= lost.lostVersion;
+		if (!issuedAfter && mayHaveBeenHome(_request.key, lost, roster) &&
+			!isOwnedSinceBefore(_request.key, lost.lostVersion))
 		{
 			return true;
 		}
@@ -353,40 +353,41 @@
 	return false;
 }
 
-bool HomeTable::isFree(const Claim& _claim, const ClaimRequest& _ask)
+bool HomeTable::isFree(const Claim& _claim, const ClaimRequest& _request)
 {
 	if (ClaimState::Released == _claim.state)
 	{
 		return true;
 	}
-	const bool vouched = _ask.released.has_value() && *_ask.released == _claim.executor;
-	return vouched && ClaimState::Granted == _claim.state;
+	const bool releasedByHolder = _request.released.has_value() && *_request.released == _claim.executor;
+	return releasedByHolder && ClaimState::Granted == _claim.state;
 }
 
-void HomeTable::take(const Claim& _claim, Micros _now)
+void HomeTable::mergeClaim(const Claim& _claim, Micros _now)
 {
-	const auto [it, added] = m_claims.try_emplace(_claim.key, Kept{_claim, true});
-	Kept& kept = it->second;
-	kept.shared = true;
+	const auto [it, added] = m_claims.try_emplace(_claim.key, ClaimRecord{_claim, true});
+	ClaimRecord& record = it->second;
+	record.shared = true;
 	if (added)
 	{
 		m_expiry.emplace_back(_now + limits::kClaimWindow, _claim.key);
 		return;
 	}
-	const bool newer = _claim.generation > kept.claim.generation;
-	const bool further = _claim.generation == kept.claim.generation && ClaimState::Granted == kept.claim.state;
-	if (newer || further)
+	const bool newer = _claim.generation > record.claim.generation;
+	const bool furtherAlong =
+		_claim.generation == record.claim.generation && ClaimState::Granted == record.claim.state;
+	if (newer || furtherAlong)
 	{
-		kept.claim = _claim;
+		record.claim = _claim;
 	}
 }
 
 void HomeTable::markShared()
 {
 	const Roster& roster = *m_epochs.back().roster;
-	for (auto& [key, kept] : m_claims)
+	for (auto& [key, record] : m_claims)
 	{
-		kept.shared = kept.shared || !isHome(key, roster);
+		record.shared = record.shared || !isHome(key, roster);
 	}
 }
 
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -125,14 +125,14 @@
 
 void DutyHolder::tryAcquire()
 {
-	const bool taken = revisionOf(kHolderKey) != 0;
+	const bool held = revisionOf(kHolderKey) != 0;
 	const Micros sent = monotonicNow();
 	const bool contentFresh = m_context.content.confirmed + kMaxContentAge > sent;
-	if (taken)
+	if (held)
 	{
 		m_vacantSince = kNever;
 	}
-	if (m_acquiring || taken || !contentFresh)
+	if (m_acquiring || held || !contentFresh)
 	{
 		return;
 	}
@@ -334,18 +334,18 @@
 		return;
 	}
 	m_pendingWindows.insert(_window);
-	const platform::DutyHolder holder{m_context.settings.name, m_lease.fence()};
+	const platform::DutyCaller holder{m_context.settings.name, m_lease.fence()};
 	m_dutyChannel->call(
 		platform::usageCall(holder, _window, _counts), kDutyTimeout,
 		[self = shared_from_this(), _window, fence = m_lease.fence()](const std::optional<HttpAnswer>& _answer)
 		{
 			self->m_pendingWindows.erase(_window);
-			const bool taken = _answer && _answer->status == 200;
-			if (taken)
+			const bool accepted = _answer && _answer->status == 200;
+			if (accepted)
 			{
 				self->m_reportedWindows.insert(_window);
 			}
-			logEvent(taken ? LogLevel::Info : LogLevel::Warning, "usage-report",
+			logEvent(accepted ? LogLevel::Info : LogLevel::Warning, "usage-report",
 					 {{"window", std::to_string(_window)},
 					  {"fence", std::to_string(fence)},
 					  {"status", _answer ? std::to_string(_answer->status) : "none"}});
@@ -377,7 +377,7 @@
 	{
 		zones[zone];
 	}
-	unsigned running = 0;
+	unsigned servers = 0;
 	unsigned onDemand = 0;
 	for (const auto& [id, known] : m_context.directory.backends())
 	{
@@ -394,14 +394,14 @@
 			continue;
 		}
 		++(known.record.spot ? zone.spot : zone.onDemand);
-		++running;
+		++servers;
 		onDemand += known.record.spot ? 0 : 1;
 	}
-	if (running == 0 && !m_context.settings.firstStart)
+	if (servers == 0 && !m_context.settings.firstStart)
 	{
 		return;
 	}
-	const CapacityPlanner::Need need = needOf(_service, running, onDemand, _now);
+	const CapacityPlanner::Need need = needOf(_service, servers, onDemand, _now);
 	for (const CapacityOrder& order : m_planners[_service.name].plan(*_service.scaling, zones, need, _now))
 	{
 		logEvent(LogLevel::Info, "capacity-order",
@@ -413,43 +413,43 @@
 				  {"occupied", std::to_string(m_context.demand.occupied(_service.name))},
 				  {"wished", std::to_string(need.desired)},
 				  {"required", std::to_string(need.required)},
-				  {"standing", std::to_string(running)},
+				  {"standing", std::to_string(servers)},
 				  {"fence", std::to_string(m_lease.fence())}});
 		sendOrder(_service.name, order);
 	}
 }
 
-CapacityPlanner::Need DutyHolder::needOf(const PooledService& _service, unsigned _standing, unsigned _onDemand,
+CapacityPlanner::Need DutyHolder::needOf(const PooledService& _service, unsigned _servers, unsigned _onDemand,
 										 Micros _now)
 {
 	const double work = CapacityPlanner::combinedWork(m_context.demand.work(_service.name),
 													  m_context.demand.occupied(_service.name));
-	CapacityPlanner::Observation seen;
-	seen.work = work;
-	// One that does not hear of most gateways does not know the load, and keeps what stands.
+	CapacityPlanner::Observation observation;
+	observation.work = work;
+	// A gateway that does not hear most of the fleet does not know the load, and keeps the current capacity.
 	const FleetLiveness& liveness = m_context.quotas.liveness();
 	const bool hearsMost =
-		liveness.contact(_now) == FleetContact::Established && liveness.silentShare(_now) < kMostSilent;
-	seen.settled = hearsMost && m_context.demand.settled(_service.name, _now);
-	seen.firstStart = m_context.settings.firstStart;
-	seen.listed = m_startListings[_service.name].complete(_onDemand, _now, _standing);
-	seen.running = m_startListings[_service.name].running();
-	return CapacityPlanner::needFor(*_service.scaling, seen);
+		liveness.contact(_now) == FleetContact::Established && liveness.silentShare(_now) < kMaxSilentShare;
+	observation.settled = hearsMost && m_context.demand.settled(_service.name, _now);
+	observation.firstStart = m_context.settings.firstStart;
+	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _servers);
+	observation.running = m_startListings[_service.name].running();
+	return CapacityPlanner::needFor(*_service.scaling, observation);
 }
 
 void DutyHolder::sendOrder(const std::string& _service, const CapacityOrder& _order)
 {
-	const platform::DutyHolder holder{m_context.settings.name, m_lease.fence()};
+	const platform::DutyCaller holder{m_context.settings.name, m_lease.fence()};
 	++m_pendingOrders;
 	m_dutyChannel->call(
 		platform::capacityCall(holder, _service, _order.dataCentre, _order.count, _order.spot), kDutyTimeout,
 		[self = shared_from_this(), _service, _order](const std::optional<HttpAnswer>& _answer)
 		{
 			--self->m_pendingOrders;
-			const bool taken = _answer && _answer->status == 200;
+			const bool accepted = _answer && _answer->status == 200;
 			const bool refused = _answer && _answer->status == 409;
-			self->m_planners[_service].onAnswer(_order, taken, refused, monotonicNow());
-			if (!taken)
+			self->m_planners[_service].onAnswer(_order, accepted, refused, monotonicNow());
+			if (!accepted)
 			{
 				logEvent(LogLevel::Warning, "capacity-order-failed",
 						 {{"service", _service},
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -129,7 +129,7 @@
 	if (keyUnknown || (keyNeeded && !m_team))
 	{
 		const bool mayBeNewer = stale && keyUnknown;
-		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "no such key",
+		refuse(mayBeNewer ? Failure::StoreUnavailable : Failure::UnknownToken, "unknown API key",
 			   kStoreUnavailableRetryAfter);
 		return false;
 	}
@@ -387,7 +387,7 @@
 		else
 		{
 			self->m_context.retryBudget.onRetry(self->m_service, monotonicNow());
-			self->chargeRepeat();
+			self->chargeRetry();
 		}
 		++self->m_sendCount;
 	};
@@ -428,8 +428,8 @@
 	const bool inTime = timeLeft(now) > 0;
 	const bool listed =
 		m_context.directory.takesWork(m_attempt.backend, now) && !m_context.directory.listOutdated(now);
-	const bool asked = m_context.backoffs.left(m_attempt.key, now) > 0;
-	m_attempt.withheld = !inTime || !listed || asked;
+	const bool inBackoff = m_context.backoffs.left(m_attempt.key, now) > 0;
+	m_attempt.withheld = !inTime || !listed || inBackoff;
 	return !m_attempt.withheld;
 }
 
@@ -481,7 +481,7 @@
 		m_context.admission.refund(m_quotaTicket, m_team->name, m_quotaTaken, monotonicNow());
 	}
 	m_session->answer(
-		makeOwnAnswer(_status, _failure, _detail, _retryAfter, platform::ownAnswerHeaders(m_info.id)));
+		makeErrorAnswer(_status, _failure, _detail, _retryAfter, platform::errorAnswerHeaders(m_info.id)));
 	finish(std::string(failureInfo(_failure).type), _status, _detail);
 }
 
@@ -545,8 +545,8 @@
 			  {"ms", millisText(now - m_request.received)},
 			  {"config", m_config ? std::to_string(m_config->version) : "-"},
 			  {"config_age_ms", millisText(m_context.directory.age(now))},
-			  {"list_age_ms", m_sent == 0 ? "-" : millisText(m_attempt.listAge)},
-			  {"standing", m_sent == 0 ? "-" : std::string(toString(m_attempt.listingState))},
+			  {"list_age_ms", m_sendCount == 0 ? "-" : millisText(m_attempt.listAge)},
+			  {"standing", m_sendCount == 0 ? "-" : std::string(toString(m_attempt.listingState))},
 			  {"backoff_left_ms", millisText(m_attempt.backoffLeft)}});
 }
 
--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -21,12 +21,12 @@
 	return EntryRef{_json.at(0).get<std::string>(), _json.at(1).get<std::uint64_t>()};
 }
 
-Json encode(const ClaimRequestRef& _requestRef)
+Json encode(const ClaimRequestRef& _ask)
 {
 	return Json::array({_requestRef.entry.id, _requestRef.entry.incarnation, _requestRef.number});
 }
 
-ClaimRequestRef decodeClaimRequestRef(const Json& _json)
+ClaimRequestRef decodeAsk(const Json& _json)
 {
 	return ClaimRequestRef{decodeEntry(_json), _json.at(2).get<std::uint64_t>()};
 }
@@ -113,11 +113,11 @@
 	return answer;
 }
 
-Json encodeMessage(const ClaimRequest& _message)
+Json encodeMessage(const ClaimRequest& _m)
 {
-	Json json{{"t", "ask"},           {"ask", encode(_message.ask)}, {"k", _message.key},
-			  {"d", _message.digest}, {"v", _message.rosterVersion}, {"i", _message.issuedVersion}};
-	if (_message.released)
+	Json json{{"t", "ask"},     {"ask", encode(_m.requestRef)}, {"k", _m.key},
+			  {"d", _m.digest}, {"v", _m.rosterVersion},        {"i", _m.issuedVersion}};
+	if (_m.released)
 	{
 		json["r"] = encode(*_message.released);
 	}
@@ -126,21 +126,15 @@
 
 Json encodeMessage(const ClaimReply& _message)
 {
-	return {{"t", "reply"},
-			{"ask", encode(_message.ask)},
-			{"k", _message.key},
-			{"w", static_cast<int>(_message.verdict)},
-			{"c", encode(_message.claim)},
-			{"v", _message.rosterVersion}};
+	return {{"t", "reply"},          {"ask", encode(_m.requestRef)},
+			{"k", _m.key},           {"w", static_cast<int>(_m.verdict)},
+			{"c", encode(_m.claim)}, {"v", _m.rosterVersion}};
 }
 
 Json encodeMessage(const ClaimUpdate& _message)
 {
-	Json json{{"t", "update"},
-			  {"k", _message.key},
-			  {"x", encode(_message.executor)},
-			  {"f", static_cast<int>(_message.fate)}};
-	if (_message.answer)
+	Json json{{"t", "update"}, {"k", _m.key}, {"x", encode(_m.executor)}, {"f", static_cast<int>(_m.result)}};
+	if (_m.answer)
 	{
 		json["a"] = encode(*_message.answer);
 	}
@@ -162,7 +156,7 @@
 	return {{"t", "sealed"}, {"v", _message.version}};
 }
 
-Json encodeMessage(const AttachRequest& _message)
+Json encodeMessage(const AttachRequest& _m)
 {
 	return {{"t", "attach"},
 			{"n", _message.attach},
@@ -178,12 +172,8 @@
 
 Json encodeMessage(const AttachEnd& _message)
 {
-	return {{"t", "end"},
-			{"n", _message.attach},
-			{"f", static_cast<int>(_message.fate)},
-			{"kept", _message.kept},
-			{"a", encode(_message.answer)},
-			{"c", _message.tokenCount}};
+	return {{"t", "end"},      {"n", _m.attach},         {"f", static_cast<int>(_m.result)},
+			{"kept", _m.kept}, {"a", encode(_m.answer)}, {"c", _m.tokenCount}};
 }
 
 Json encodeMessage(const RequestHandover& _message)
@@ -241,17 +231,17 @@
 	return handover;
 }
 
-ClaimRequest decodeClaimRequest(const Json& _json)
+ClaimRequest decodeClaimAsk(const Json& _json)
 {
 	ClaimRequest request;
-	request.ask = decodeClaimRequestRef(_json.at("ask"));
+	request.requestRef = decodeAsk(_json.at("ask"));
 	request.key = _json.at("k").get<std::string>();
 	request.digest = _json.at("d").get<std::uint64_t>();
 	request.rosterVersion = _json.at("v").get<std::uint64_t>();
 	request.issuedVersion = _json.at("i").get<std::uint64_t>();
 	if (_json.contains("r"))
 	{
-		request.released = decodeClaimRequestRef(_json.at("r"));
+		request.released = decodeAsk(_json.at("r"));
 	}
 	return request;
 }
@@ -259,7 +249,7 @@
 ClaimReply decodeClaimReply(const Json& _json)
 {
 	ClaimReply reply;
-	reply.ask = decodeClaimRequestRef(_json.at("ask"));
+	reply.requestRef = decodeAsk(_json.at("ask"));
 	reply.key = _json.at("k").get<std::string>();
 	reply.verdict = decodeEnum(_json.at("w"), ClaimVerdict::Mismatch);
 	reply.claim = decodeClaim(_json.at("c"));
@@ -271,8 +261,8 @@
 {
 	ClaimUpdate update;
 	update.key = _json.at("k").get<std::string>();
-	update.executor = decodeClaimRequestRef(_json.at("x"));
-	update.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
+	update.executor = decodeAsk(_json.at("x"));
+	update.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	if (_json.contains("a"))
 	{
 		update.answer = decodeAnswer(_json.at("a"));
@@ -291,12 +281,12 @@
 	return seal;
 }
 
-AttachRequest decodeAttachRequest(const Json& _json)
+AttachRequest decodeAttachAsk(const Json& _json)
 {
 	AttachRequest request;
 	request.attach = _json.at("n").get<std::uint64_t>();
 	request.key = _json.at("k").get<std::string>();
-	request.executor = decodeClaimRequestRef(_json.at("x"));
+	request.executor = decodeAsk(_json.at("x"));
 	request.offset = _json.at("o").get<std::uint64_t>();
 	return request;
 }
@@ -314,7 +304,7 @@
 {
 	AttachEnd end;
 	end.attach = _json.at("n").get<std::uint64_t>();
-	end.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
+	end.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	end.kept = _json.at("kept").get<bool>();
 	end.answer = decodeAnswer(_json.at("a"));
 	end.tokenCount = _json.at("c").get<std::uint64_t>();
--- a/tests/buildstest.cpp
+++ b/tests/buildstest.cpp
@@ -74,16 +74,16 @@
 
 TEST(GossipCompatibility, decodesAllFieldsOfFormat6)
 {
-	const auto message = decodeGossip(golden("gossip-6"));
-	expectGoldenContent(message);
+	const auto message = decodeGossip(readGoldenDatagram("gossip-6"));
+	expectAll(message);
 	ASSERT_TRUE(message);
 	EXPECT_TRUE(message->levels.empty()); // Format 6 has no levels: a gateway that starts enforces its own share.
 }
 
 TEST(GossipCompatibility, decodesAllFieldsOfFormat7)
 {
-	const auto message = decodeGossip(golden("gossip-7"));
-	expectGoldenContent(message);
+	const auto message = decodeGossip(readGoldenDatagram("gossip-7"));
+	expectAll(message);
 	ASSERT_TRUE(message);
 	ASSERT_EQ(message->levels.size(), 1u);
 	EXPECT_EQ(message->levels[0].left, 17.5);
@@ -91,17 +91,17 @@
 
 TEST(GossipCompatibility, encodesTheFormatThatThePreviousBuildAccepts)
 {
-	// The previous build accepts only format 7 with exactly its fields.
-	const auto message = decodeGossip(golden("gossip-7"));
+	// It takes a datagram only with its own number and as many fields as it knows.
+	const auto message = decodeGossip(readGoldenDatagram("gossip-7"));
 	ASSERT_TRUE(message);
-	EXPECT_EQ(encodeGossip(*message), golden("gossip-7"));
-	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage())).size(), kFormat7FieldCount);
+	EXPECT_EQ(encodeGossip(*message), readGoldenDatagram("gossip-7"));
+	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage())).size(), kFieldsOf7);
 	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage()))[0], 7);
 }
 
 TEST(GossipCompatibility, decodesTheKnownFieldsOfALaterFormat)
 {
-	Json fields = fieldsOf(golden("gossip-7"));
+	Json fields = fieldsOf(readGoldenDatagram("gossip-7"));
 	fields[0] = 8;
 	expectGoldenContent(decodeGossip(bytesOf(fields)));
 	fields.push_back("news");
@@ -112,7 +112,7 @@
 
 TEST(GossipCompatibility, rejectsUnsupportedFormatsAndUnknownKinds)
 {
-	Json fields = fieldsOf(golden("gossip-7"));
+	Json fields = fieldsOf(readGoldenDatagram("gossip-7"));
 	for (const Json& format : {Json(5), Json(0), Json(-1), Json("7"), Json(7.5), Json(nullptr), Json(1e300)})
 	{
 		fields[0] = format;
@@ -127,7 +127,7 @@
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
-		Json fields = fieldsOf(golden(name));
+		Json fields = fieldsOf(readGoldenDatagram(name));
 		fields.erase(fields.size() - 1);
 		EXPECT_FALSE(decodeGossip(bytesOf(fields))) << name;
 	}
@@ -146,9 +146,9 @@
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
-		const std::string datagram = golden(name);
-		std::string changed = datagram;
-		changed[position % changed.size()] = static_cast<char>(byte);
+		const std::string whole = readGoldenDatagram(name);
+		std::string changed = whole;
+		changed[place % changed.size()] = static_cast<char>(byte);
 		decodeGossip(changed);
 		decodeGossip(datagram + changed);
 		RC_ASSERT(!decodeGossip(datagram + static_cast<char>(byte)));
@@ -159,8 +159,8 @@
 RC_GTEST_PROP(GossipCompatibility, encodesAgainWhatItDecodedFromSwappedFields,
 			  (std::uint8_t firstIndex, std::uint8_t secondIndex))
 {
-	Json fields = fieldsOf(golden("gossip-7"));
-	std::swap(fields[firstIndex % fields.size()], fields[secondIndex % fields.size()]);
+	Json fields = fieldsOf(readGoldenDatagram("gossip-7"));
+	std::swap(fields[one % fields.size()], fields[other % fields.size()]);
 	const auto message = decodeGossip(bytesOf(fields));
 	if (message)
 	{
--- a/tests/quotacodectest.cpp
+++ b/tests/quotacodectest.cpp
@@ -34,12 +34,12 @@
 
 TEST(QuotaCodec, decodesAndEncodesTheGoldenDatagrams)
 {
-	expectDecodesTo(golden("quota-ask-7"), kGrantRequest);
-	expectDecodesTo(golden("quota-answer-7"), kGrantAnswer);
-	expectDecodesTo(golden("quota-return-7"), kGrantReturn);
-	EXPECT_EQ(encodeQuota(kGrantRequest), golden("quota-ask-7"));
-	EXPECT_EQ(encodeQuota(kGrantAnswer), golden("quota-answer-7"));
-	EXPECT_EQ(encodeQuota(kGrantReturn), golden("quota-return-7"));
+	expectSame(readGoldenDatagram("quota-ask-7"), kAsk);
+	expectSame(readGoldenDatagram("quota-answer-7"), kAnswer);
+	expectSame(readGoldenDatagram("quota-return-7"), kReturn);
+	EXPECT_EQ(encodeQuota(kAsk), readGoldenDatagram("quota-ask-7"));
+	EXPECT_EQ(encodeQuota(kAnswer), readGoldenDatagram("quota-answer-7"));
+	EXPECT_EQ(encodeQuota(kReturn), readGoldenDatagram("quota-return-7"));
 }
 
 TEST(QuotaCodec, roundTripsAllFieldsOfAnAnswer)
@@ -61,8 +61,8 @@
 	EXPECT_FALSE(decodeGossip(encodeQuota(kGrantRequest)));
 	EXPECT_FALSE(decodeGossip(encodeQuota(kGrantAnswer)));
 	EXPECT_FALSE(isQuotaDatagram(encodeGossip(GossipMessage())));
-	EXPECT_FALSE(isQuotaDatagram(golden("gossip-6")));
-	EXPECT_FALSE(isQuotaDatagram(golden("gossip-7")));
+	EXPECT_FALSE(isQuotaDatagram(readGoldenDatagram("gossip-6")));
+	EXPECT_FALSE(isQuotaDatagram(readGoldenDatagram("gossip-7")));
 }
 
 TEST(QuotaCodec, ignoresAddedFieldsOfALaterFormat)
