--- a/src/transport/forwarding.cpp
+++ b/src/transport/forwarding.cpp
@@ -20,7 +20,7 @@
 	"Transfer-Encoding", "Trailer",    "Upgrade",          "Content-Length",
 };
 
-/// Answered by this side already.
+/// Not forwarded, because the gateway answers Expect itself.
 constexpr std::string_view kExpect = "Expect";
 
 bool concernsConnection(std::string_view _name)
--- a/src/transport/forwarding.h
+++ b/src/transport/forwarding.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Headers that pass from one connection to the next, and those that do not.
+/// End-to-end and hop-by-hop header fields of forwarded HTTP messages.
 
 #ifndef BEACONGATE_TRANSPORT_FORWARDING_H
 #define BEACONGATE_TRANSPORT_FORWARDING_H
@@ -13,13 +13,13 @@
 
 namespace beacongate
 {
-/// @returns whether two header names, or tokens, are the same but for case.
+/// @returns true if two header names or tokens are equal, ignoring case.
 bool sameHeader(std::string_view _left, std::string_view _right);
 
-/// @returns the headers without those that concern one connection or the body's framing.
+/// @returns the headers without hop-by-hop fields, fields that Connection lists, Content-Length and Expect.
 HttpHeaders endToEndHeaders(const HttpHeaders& _headers);
 
-/// Appends header lines as they go on the wire.
+/// Appends the headers as HTTP/1.1 header lines.
 void appendHeaders(std::string& _bytes, const HttpHeaders& _headers);
 
 } // namespace beacongate
--- a/src/transport/httpchannel.cpp
+++ b/src/transport/httpchannel.cpp
@@ -170,7 +170,7 @@
 {
 	if (!m_busy || !m_parser)
 	{
-		// Bytes that nobody asked for: the connection cannot be trusted with another call.
+		// The server sent bytes without a request, so they could be taken for the answer to a later call.
 		dropConnection();
 		return;
 	}
@@ -234,7 +234,7 @@
 	const bool untouched = m_reused && !m_parser->started() && m_queue.front().request.method == "GET";
 	if (untouched)
 	{
-		// The kept connection had been closed by the server; a read is asked again on a new one.
+		// The server had closed the persistent connection; a GET is idempotent and is sent again on a new one.
 		m_reused = false;
 		m_parser = nullptr;
 		connect();
--- a/src/transport/httpchannel.h
+++ b/src/transport/httpchannel.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Calls to one server, one after the other on a kept connection, each with a deadline.
+/// HTTP/1.1 client for one server: sequential calls on a persistent connection, each with a timeout.
 
 #ifndef BEACONGATE_TRANSPORT_HTTPCHANNEL_H
 #define BEACONGATE_TRANSPORT_HTTPCHANNEL_H
@@ -28,56 +28,57 @@
 	std::string target;
 	HttpHeaders headers;
 	std::string body;
-	/// The answer may take this long as long as its bytes keep coming; 0 is no longer than the call's span.
+	/// While bytes of the answer keep arriving, the call's timeout restarts until this time has passed since the
+	/// call was started; 0 never restarts it.
 	Micros longest = 0;
-	/// Runs whenever bytes of a successful answer came; may be empty.
+	/// Called whenever bytes of an answer with status 200 have arrived; may be empty.
 	std::function<void()> onProgress;
 };
 
-/// Why a call got no answer.
+/// Reason why a call got no answer.
 enum class ChannelFault : std::uint8_t
 {
 	None,
-	Silent,     ///< Nothing came in time: the other side may be slow, or out of reach.
-	Busy,       ///< The other side is well and takes no more calls for now.
-	TurnedAway, ///< The connection was refused, or ended before the answer was whole.
+	Silent,     ///< The call timed out: the server may be slow or unreachable.
+	Busy,       ///< The server is healthy and accepts no further calls for now.
+	TurnedAway, ///< The connection failed or ended before the answer was complete, or the answer was malformed.
 };
 
 /// @returns a short name for logs.
 std::string_view toString(ChannelFault _fault);
 
-/// Formats a request with its Host and Content-Length.
+/// Formats an HTTP/1.1 request and adds the Host and Content-Length headers.
 std::string formatRequest(const ChannelRequest& _request, const Address& _address);
 
-/// Sends calls in order.
+/// Sends calls to one server in order, one at a time.
 class HttpChannel : public std::enable_shared_from_this<HttpChannel>
 {
 public:
-	/// Gets the answer, or nothing where none came in time: the call may have been done.
+	/// Receives the answer, or nothing if the call failed; the server may have executed a failed call.
 	using Handler = std::function<void(std::optional<HttpAnswer>)>;
-	/// Asked right before a call is sent; a call that may not go is answered with nothing.
+	/// Called right before a call is sent; if it returns false, the call is not sent and its handler gets nothing.
 	using MaySend = std::function<bool()>;
 
 	HttpChannel(boost::asio::io_context& _context, Address _address, std::size_t _answerLimit);
 
-	/// Sends a call once those before it have ended. The handler never runs inside this function.
-	/// @param[in] span Time for the call, from the moment that it is its turn, and again from each piece of its
-	/// answer until the request's `longest` has passed.
+	/// Queues a call; it is sent once the earlier calls have ended. The handler never runs inside this function.
+	/// @param[in] span Timeout of the call. It starts when the call reaches the head of the queue, and restarts
+	/// whenever bytes of its answer arrive until the request's `longest` has passed.
 	void call(ChannelRequest _request, Micros _span, Handler _handler, MaySend _maySend = nullptr);
 
-	/// @returns whether bytes of an answer have come to the call whose turn it is.
+	/// @returns true if bytes of the answer to the current call have arrived.
 	bool receiving() const
 	{
 		return m_busy && m_parser && m_parser->started();
 	}
 
-	/// @returns why the last call that ended got no answer; for its handler.
+	/// @returns the reason why the last finished call got no answer; its handler may read it.
 	ChannelFault fault() const
 	{
 		return m_fault;
 	}
 
-	/// Closes the connection; calls that wait get nothing and no handler runs any more.
+	/// Closes the connection and drops all queued calls without running their handlers.
 	void close();
 
 private:
@@ -107,9 +108,10 @@
 	bool m_busy = false;
 	bool m_closed = false;
 	bool m_reused = false;
-	ChannelFault m_fault = ChannelFault::None; ///< Of the last call that ended.
+	ChannelFault m_fault = ChannelFault::None; ///< Fault of the last finished call.
 	std::uint64_t m_turn = 0;
-	std::chrono::steady_clock::time_point m_callEnds; ///< From then on, more bytes give the call no more time.
+	std::chrono::steady_clock::time_point
+		m_callEnds; ///< After this time, arriving bytes no longer restart the timeout.
 	TcpConnection::Ptr m_connection;
 	std::unique_ptr<MessageParser> m_parser;
 	std::string m_input;
--- a/src/transport/httpclient.cpp
+++ b/src/transport/httpclient.cpp
@@ -28,7 +28,7 @@
 
 using StreamPtr = std::shared_ptr<beast::tcp_stream>;
 
-/// A call that runs.
+/// State of a call in progress.
 struct Running
 {
 	HttpCall call;
@@ -66,7 +66,7 @@
 	enum class Step
 	{
 		Ended,
-		Stale, ///< A pooled connection had been closed by the other side.
+		Stale, ///< The server had closed the pooled connection; the call may be tried again.
 	};
 
 	asio::awaitable<void> run(RunningPtr _running);
@@ -154,7 +154,7 @@
 	const std::size_t sent = co_await http::async_write(stream, message, token);
 	beast::flat_buffer buffer;
 	http::response_parser<http::string_body> parser;
-	// Beast 1.74 takes "no limit" for a limit of 0, so the largest number stands for it.
+	// Beast 1.74 treats an unset limit as a limit of 0, so the maximum value stands for no limit.
 	parser.body_limit(0 == call.bodyLimit ? std::numeric_limits<std::uint64_t>::max() : call.bodyLimit);
 	if (error && 0 == sent && !pooled)
 	{
--- a/src/transport/httpclient.h
+++ b/src/transport/httpclient.h
@@ -16,30 +16,30 @@
 
 namespace beacongate
 {
-/// One call.
+/// Describes one HTTP request and how its answer is delivered.
 struct HttpCall
 {
-	std::uint64_t id = 0; ///< Chosen by the user, unique among calls that run.
+	std::uint64_t id = 0; ///< Chosen by the caller; unique among running calls.
 	Address address;
 	std::string method = "POST";
 	std::string target;
 	HttpHeaders headers;
 	std::string body;
-	bool ownConnection = false; ///< Never on a pooled connection, so that NotSent can be told for sure.
-	bool incremental = false;   ///< onData() gets the body as it comes, else onEnd() gets it whole.
-	std::size_t bodyLimit = 0;  ///< Bytes of the answer's body; 0 is without a limit (incremental only).
-	Micros timeout = 0;         ///< Span for the whole call.
+	bool ownConnection = false; ///< Uses a new connection instead of a pooled one, so that NotSent is reliable.
+	bool incremental = false;   ///< onData() gets the body as it arrives; otherwise onEnd() gets the complete body.
+	std::size_t bodyLimit = 0;  ///< Maximum bytes of the answer's body; 0 means no limit (incremental only).
+	Micros timeout = 0; ///< Timeout of each step: connecting, and then sending the request and reading the answer.
 };
 
-/// How a call failed.
+/// Reason why a call failed.
 enum class HttpFault
 {
-	NotSent, ///< No byte of the request was taken by the network.
-	Broken,  ///< The connection ended, or the answer made no sense.
+	NotSent, ///< No byte of the request was sent.
+	Broken,  ///< The connection ended early, or the answer was malformed.
 	TimedOut,
 };
 
-/// What a client calls; always on the loop's thread.
+/// Callbacks of a client; they run on the loop's thread.
 struct HttpClientHandlers
 {
 	std::function<void(std::uint64_t _id, unsigned _status)> onHead;
@@ -50,7 +50,7 @@
 
 struct HttpClientImpl;
 
-/// Makes calls on one loop. All methods are for the loop's thread.
+/// HTTP client on one I/O loop. All methods must be called on the loop's thread.
 class HttpClient
 {
 public:
@@ -59,19 +59,19 @@
 	HttpClient(const HttpClient&) = delete;
 	HttpClient& operator=(const HttpClient&) = delete;
 
-	/// Starts a call. Exactly one of onEnd() and onFail() follows, unless it is cancelled.
+	/// Starts a call. Exactly one of onEnd() and onFail() is called later, unless the call is cancelled.
 	void start(HttpCall _call);
 
-	/// Ends a call; no handler is called for it afterwards.
+	/// Cancels a call; no handler is called for it afterwards.
 	void cancel(std::uint64_t _id);
 
 private:
 	std::shared_ptr<HttpClientImpl> m_impl;
 };
 
-/// Makes one call and waits for its answer, on the calling thread.
-/// @param[out] _answer Set where the call succeeded.
-/// @returns whether there was an answer; otherwise `_fault` says why not.
+/// Makes one call on a new connection and blocks the calling thread until it ends.
+/// @param[out] _answer Set if the call succeeded.
+/// @returns true if an answer arrived; otherwise `_fault` holds the reason.
 bool callAndWait(const HttpCall& _call, HttpAnswer& _answer, HttpFault& _fault);
 
 } // namespace beacongate
--- a/src/transport/httpserver.cpp
+++ b/src/transport/httpserver.cpp
@@ -37,17 +37,17 @@
 
 namespace
 {
-/// A connection without a request is closed after this.
+/// A connection that waits for a request or for more of its body is closed after this time.
 constexpr std::chrono::seconds kIdleTimeout{120};
-/// A caller that takes no bytes for this long is gone.
+/// A client whose pending write takes longer than this is treated as disconnected.
 constexpr std::chrono::seconds kWriteTimeout{60};
 
-/// After a refused request, so much of what still comes is read and dropped.
+/// Maximum bytes that are read and discarded after a rejected request.
 constexpr std::size_t kDiscardBytes = 64u << 20;
 constexpr std::size_t kDiscardBuffer = 64u << 10;
 constexpr std::chrono::seconds kDiscardTimeout{5};
 
-/// A piece of an answer that waits to be written.
+/// Part of an answer that is queued for writing.
 struct Piece
 {
 	enum class Kind
@@ -59,7 +59,7 @@
 		Cut,
 	};
 	Kind kind = Kind::Whole;
-	HttpAnswer answer; ///< Chunk: only the body counts; end: only the headers, as trailers.
+	HttpAnswer answer; ///< Chunk uses only the body; End uses only the headers, as trailers.
 };
 
 struct Session
@@ -71,9 +71,9 @@
 
 	beast::tcp_stream stream;
 	beast::flat_buffer buffer;
-	asio::steady_timer signal; ///< Cancelled when a piece arrives.
+	asio::steady_timer signal; ///< Cancelled to wake the writer when a part is queued or the client disconnects.
 	std::deque<Piece> outbox;
-	ExchangeId exchange = 0; ///< 0 between two requests.
+	ExchangeId exchange = 0; ///< 0 while no request is being answered.
 	bool gone = false;
 };
 
@@ -146,7 +146,7 @@
 			{
 				co_return;
 			}
-			// Out of descriptors, for example: wait for connections to end.
+			// The process may be out of file descriptors: retry after a pause, when connections may have ended.
 			asio::steady_timer pause(context, std::chrono::milliseconds(10));
 			co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
 			continue;
@@ -204,7 +204,7 @@
 
 asio::awaitable<void> HttpServerImpl::discardRest(SessionPtr _session)
 {
-	// Closing with unread bytes would reset the connection, and the caller would lose the answer.
+	// Closing with unread bytes would reset the connection, and the client would lose the answer.
 	boost::system::error_code error;
 	_session->stream.socket().shutdown(tcp::socket::shutdown_send, error);
 	_session->stream.expires_after(kDiscardTimeout);
@@ -315,7 +315,7 @@
 		break;
 	}
 	case Piece::Kind::Chunk:
-		// Pieces that wait go out together.
+		// Queued chunks are merged into one.
 		while (!_session->outbox.empty() && Piece::Kind::Chunk == _session->outbox.front().kind)
 		{
 			_piece.answer.body += _session->outbox.front().answer.body;
--- a/src/transport/httptypes.h
+++ b/src/transport/httptypes.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// HTTP messages as plain values.
+/// Plain structs for HTTP messages.
 
 #ifndef BEACONGATE_TRANSPORT_HTTPTYPES_H
 #define BEACONGATE_TRANSPORT_HTTPTYPES_H
@@ -16,13 +16,13 @@
 
 namespace beacongate
 {
-/// Names and values, in order.
+/// Header names and values in their order in the message.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// @returns the value of a header, compared without case, or an empty text.
+/// @returns the value of the first header of that name, ignoring case, or an empty string.
 std::string_view findHeader(const HttpHeaders& _headers, std::string_view _name);
 
-/// A request that arrived whole.
+/// A complete request.
 struct HttpRequest
 {
 	std::string method;
@@ -31,7 +31,7 @@
 	std::string body;
 };
 
-/// A whole answer.
+/// A complete answer.
 struct HttpAnswer
 {
 	unsigned status = 200;
--- a/src/transport/ioloop.h
+++ b/src/transport/ioloop.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A thread that does network I/O, behind a header without Asio.
+/// Thread for network I/O; this header does not include Asio.
 
 #ifndef BEACONGATE_TRANSPORT_IOLOOP_H
 #define BEACONGATE_TRANSPORT_IOLOOP_H
@@ -16,7 +16,7 @@
 {
 struct IoLoopImpl;
 
-/// One Asio io_context with one thread.
+/// Runs one Asio io_context on one thread.
 class IoLoop
 {
 public:
@@ -28,16 +28,16 @@
 	/// Starts the thread.
 	void init();
 
-	/// Stops and joins the thread; what is pending is dropped.
+	/// Stops and joins the thread; pending work does not run.
 	void shutdown();
 
 	/// Runs a function on the loop's thread. May be called from any thread.
 	void post(std::function<void()> _function);
 
-	/// Runs a function on the loop's thread after a span.
+	/// Runs a function on the loop's thread after a delay.
 	void after(Micros _span, std::function<void()> _function);
 
-	/// For the modules of this layer.
+	/// @returns the Asio objects, for use inside the transport layer.
 	IoLoopImpl& impl();
 
 private:
--- a/src/transport/ioloop_p.h
+++ b/src/transport/ioloop_p.h
@@ -2,12 +2,12 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Private part of ioloop.h, for modules that use Asio.
+/// Implementation of IoLoop, for transport modules that use Asio directly.
 
 #ifndef BEACONGATE_TRANSPORT_IOLOOP_P_H
 #define BEACONGATE_TRANSPORT_IOLOOP_P_H
 
-#include <utility> // Has to stand before asio/awaitable.hpp of Boost 1.74.
+#include <utility> // Must precede asio/awaitable.hpp, which lacks this include in Boost 1.74.
 
 #include <boost/asio.hpp>
 
--- a/src/transport/loopinbox.h
+++ b/src/transport/loopinbox.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A bounded ring into an I/O loop.
+/// Bounded message queue from another thread to an I/O loop.
 
 #ifndef BEACONGATE_TRANSPORT_LOOPINBOX_H
 #define BEACONGATE_TRANSPORT_LOOPINBOX_H
@@ -19,18 +19,18 @@
 
 namespace beacongate
 {
-/// Messages that one thread hands to a loop; the loop takes all that are there at once.
+/// Passes messages from one thread to a loop, which receives all queued messages as one batch.
 template <typename Message> class LoopInbox
 {
 public:
-	/// @param[in] _handler Runs on the loop's thread.
+	/// @param[in] _handler Receives each batch on the loop's thread.
 	LoopInbox(IoLoop& _loop, std::function<void(std::vector<std::unique_ptr<Message>>&)> _handler)
 		: m_loop(_loop), m_handler(std::move(_handler))
 	{
 	}
 
-	/// Hands a message over; waits while the ring is full, so that no answer is lost.
-	/// @attention Only for a thread on which the loop never waits.
+	/// Queues a message; busy-waits while the ring is full, so that no message is lost.
+	/// @attention Must only be called on a thread that the loop never waits for, since both would then deadlock.
 	void push(Message _message)
 	{
 		auto message = std::make_unique<Message>(std::move(_message));
@@ -42,7 +42,7 @@
 		m_dirty = true;
 	}
 
-	/// Wakes the loop where something was pushed since the last call.
+	/// Wakes the loop if a message was pushed since the last call.
 	void flush()
 	{
 		if (m_dirty)
@@ -76,7 +76,7 @@
 	std::function<void(std::vector<std::unique_ptr<Message>>&)> m_handler;
 	Ring<Message> m_ring;
 	std::atomic<bool> m_posted = false;
-	bool m_dirty = false; ///< Of the pushing thread.
+	bool m_dirty = false; ///< A message was pushed since the last flush(); only the pushing thread uses it.
 };
 
 } // namespace beacongate
--- a/src/transport/messageparser.cpp
+++ b/src/transport/messageparser.cpp
@@ -17,7 +17,7 @@
 
 namespace
 {
-/// Collects what the library's parser reports.
+/// Stores the parts of the message that Beast's parser reports.
 template <bool IsRequest> class Collector : public http::basic_parser<IsRequest>
 {
 public:
--- a/src/transport/messageparser.h
+++ b/src/transport/messageparser.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Incremental HTTP/1.1 parser for either side; body bytes are handed out as they come, without chunk framing.
+/// Incremental HTTP/1.1 parser for requests and answers; it returns body bytes as they arrive, without chunk
+/// framing.
 
 #ifndef BEACONGATE_TRANSPORT_MESSAGEPARSER_H
 #define BEACONGATE_TRANSPORT_MESSAGEPARSER_H
@@ -16,7 +17,7 @@
 
 namespace beacongate
 {
-/// The first part of a message.
+/// Start line and headers of a message.
 struct MessageHead
 {
 	std::string method;      ///< Requests only.
@@ -24,66 +25,66 @@
 	unsigned status = 0;     ///< Answers only.
 	unsigned version = 11;   ///< 10 or 11.
 	HttpHeaders headers;     ///< Without trailers.
-	bool keepAlive = false;  ///< The connection may carry another message.
-	bool chunked = false;    ///< The body came in chunks.
-	bool untilClose = false; ///< The body ends with the connection.
+	bool keepAlive = false;  ///< The connection may be used for another message.
+	bool chunked = false;    ///< The body uses chunked transfer encoding.
+	bool untilClose = false; ///< The body ends when the connection is closed.
 };
 
-/// Which messages a parser reads.
+/// Type of message that a parser reads.
 enum class MessageKind
 {
 	Request,
 	Answer,
 };
 
-/// Why bytes are no message.
+/// Reason why a message could not be parsed.
 enum class ParseFault
 {
 	None,
 	Malformed,
 	HeaderTooLarge,
 	BodyTooLarge,
-	Truncated, ///< The connection ended inside the message.
+	Truncated, ///< The connection ended before the message was complete.
 };
 
 struct MessageParserImpl;
 
-/// Reads one message.
+/// Parses one message.
 class MessageParser
 {
 public:
-	/// @param[in] headerLimit Bytes of the head.
-	/// @param[in] bodyLimit Bytes of the body.
+	/// @param[in] headerLimit Maximum bytes of the start line and headers.
+	/// @param[in] bodyLimit Maximum bytes of the body.
 	MessageParser(MessageKind _kind, std::size_t _headerLimit, std::size_t _bodyLimit);
 	~MessageParser();
 	MessageParser(const MessageParser&) = delete;
 	MessageParser& operator=(const MessageParser&) = delete;
 
-	/// The answer is to a request whose answers have no body.
+	/// Expects an answer without a body, as to a HEAD request.
 	void expectNoBody();
 
-	/// Reads as much as there is.
-	/// @param[in] bytes What has come and is not consumed yet, from the first unconsumed byte.
-	/// @param[out] body Gets the body's bytes appended.
-	/// @returns bytes consumed; the rest has to be given again with what follows.
+	/// Parses as many of the given bytes as possible.
+	/// @param[in] bytes All received bytes that were not consumed yet.
+	/// @param[out] body Parsed body bytes are appended to it.
+	/// @returns the number of consumed bytes; the rest must be passed again, followed by newly received bytes.
 	std::size_t consume(std::string_view _bytes, std::string& _body);
 
-	/// Tells that the connection ended in order.
+	/// Reports that the other side closed the connection in order, which completes a body that ends there.
 	void finishAtEnd();
 
-	/// @returns whether the head is complete.
+	/// @returns true if the start line and headers are complete.
 	bool headDone() const;
 
-	/// @returns whether the whole message was read.
+	/// @returns true if the message is complete.
 	bool done() const;
 
-	/// @returns whether any byte of a message was consumed or rejected.
+	/// @returns true if any byte was passed to consume().
 	bool started() const;
 
-	/// @returns what is wrong with the message.
+	/// @returns the parse fault, or None.
 	ParseFault fault() const;
 
-	/// @returns the head; complete once headDone().
+	/// @returns the start line and headers; they are complete once headDone() is true.
 	const MessageHead& head() const;
 
 private:
--- a/src/transport/outgoingcall.cpp
+++ b/src/transport/outgoingcall.cpp
@@ -177,7 +177,7 @@
 	if (m_connection)
 	{
 		m_connection->close();
-		// Handlers may be running and own this call: they are dropped once they have returned.
+		// A running handler may own this call, so the handlers are destroyed after it has returned.
 		boost::asio::post(m_connection->executor(), [self = shared_from_this()] { self->m_handlers = {}; });
 		return;
 	}
--- a/src/transport/outgoingcall.h
+++ b/src/transport/outgoingcall.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// One request sent on a connection of its own, with the answer handed on as it arrives.
+/// One HTTP request on a dedicated connection; the answer is delivered as it arrives.
 
 #ifndef BEACONGATE_TRANSPORT_OUTGOINGCALL_H
 #define BEACONGATE_TRANSPORT_OUTGOINGCALL_H
@@ -17,55 +17,56 @@
 
 namespace beacongate
 {
-/// How a call ended without a whole answer.
+/// Reason why a call ended without a complete answer.
 enum class CallFault
 {
-	NotSent,   ///< No byte of the request left: no connection came up.
-	Broken,    ///< The connection ended before the answer did.
-	Malformed, ///< The bytes are no answer.
+	NotSent,   ///< No byte was sent: the connection failed, or maySend() returned false.
+	Broken,    ///< The connection ended before the answer was complete.
+	Malformed, ///< The received bytes are not a valid HTTP answer.
 };
 
-/// What a call reports; nothing after onDone(), onFault() or cancel().
+/// Callbacks of a call; none is called after onDone(), onFault() or cancel().
 struct CallHandlers
 {
-	/// Asked once the connection is up; where it says no, the call ends as NotSent. None is yes.
+	/// Called once the connection is established; if it returns false, the call ends as NotSent. If it is empty,
+	/// the request is sent.
 	std::function<bool()> maySend;
-	std::function<void()> onSent; ///< The connection is up and the request's bytes were handed over.
+	std::function<void()> onSent; ///< The connection is established and the request was passed to it.
 	std::function<void(const MessageHead&)> onHead;
 	std::function<void(std::string_view)> onBody;
 	std::function<void()> onDone;
 	std::function<void(CallFault)> onFault;
 };
 
-/// How a call connects.
+/// Connection options of a call.
 struct CallOptions
 {
 	Address address;
-	Micros connectSpan = kSecond;     ///< Until a connection has to be up.
-	Micros userTimeout = 3 * kSecond; ///< How long sent bytes may stay unacknowledged.
-	bool noBody = false;              ///< The answer has no body, whatever its head says.
+	Micros connectSpan = kSecond;     ///< Timeout for establishing the connection.
+	Micros userTimeout = 3 * kSecond; ///< TCP_USER_TIMEOUT: maximum time that sent bytes may stay unacknowledged.
+	bool noBody = false;              ///< The answer has no body, regardless of its headers.
 };
 
-/// A call that runs.
+/// A call in progress.
 class OutgoingCall : public std::enable_shared_from_this<OutgoingCall>
 {
 public:
 	using Ptr = std::shared_ptr<OutgoingCall>;
 
-	/// Begins a call. No handler runs before this returns.
-	/// @param[in] bytes The request as it goes on the wire.
+	/// Starts a call. No handler runs before this function returns.
+	/// @param[in] bytes The formatted HTTP request.
 	static Ptr start(boost::asio::io_context& _context, const CallOptions& _options, std::string _bytes,
 					 CallHandlers _handlers);
 
 	explicit OutgoingCall(CallHandlers _handlers);
 
-	/// Ends the call; its connection is closed.
+	/// Cancels the call and closes its connection.
 	void cancel();
 
-	/// Stops reading the answer, for a caller that does not keep up.
+	/// Stops reading the answer while its consumer cannot keep up.
 	void pause();
 
-	/// Goes on after pause().
+	/// Continues to read after pause().
 	void resume();
 
 private:
--- a/src/transport/ring.h
+++ b/src/transport/ring.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Bounded rings that join the threads of a process.
+/// Bounded message queue between threads, and a wake-up signal for its consumer.
 
 #ifndef BEACONGATE_TRANSPORT_RING_H
 #define BEACONGATE_TRANSPORT_RING_H
@@ -18,7 +18,7 @@
 
 namespace beacongate
 {
-/// Bounded ring of messages that are handed over whole; many producers, one consumer.
+/// Bounded lock-free queue that transfers ownership of messages; multiple producers, one consumer.
 template <typename Message> class Ring
 {
 public:
@@ -36,9 +36,9 @@
 	Ring(const Ring&) = delete;
 	Ring& operator=(const Ring&) = delete;
 
-	/// Hands a message over.
-	/// @param[in,out] _message Left as it was where the ring is full.
-	/// @returns false where the ring is full.
+	/// Queues a message and takes ownership of it.
+	/// @param[in,out] _message Unchanged if the ring is full.
+	/// @returns true if the message was queued, false if the ring is full.
 	bool push(std::unique_ptr<Message>& _message)
 	{
 		if (!m_queue.bounded_push(_message.get()))
@@ -49,7 +49,7 @@
 		return true;
 	}
 
-	/// @returns the oldest message, or null where there is none.
+	/// @returns the oldest message, or null if the ring is empty.
 	std::unique_ptr<Message> pop()
 	{
 		Message* message = nullptr;
@@ -60,7 +60,7 @@
 		return std::unique_ptr<Message>(message);
 	}
 
-	/// @returns whether there is nothing to pop.
+	/// @returns true if the ring is empty.
 	bool empty() const
 	{
 		return m_queue.empty();
@@ -70,11 +70,11 @@
 	boost::lockfree::queue<Message*, boost::lockfree::fixed_sized<true>> m_queue;
 };
 
-/// Wakes a thread that consumes one or several rings.
+/// Signal that wakes the thread that consumes one or several rings.
 class Wakeup
 {
 public:
-	/// Wakes the waiting thread, or lets its next wait return at once.
+	/// Wakes the waiting thread; if none waits, the next wait() returns at once.
 	void notify()
 	{
 		{
@@ -84,7 +84,7 @@
 		m_condition.notify_one();
 	}
 
-	/// Waits until notify() was called or the span is over.
+	/// Waits until notify() is called or the timeout expires.
 	void wait(std::chrono::microseconds _span)
 	{
 		std::unique_lock lock(m_mutex);
--- a/src/transport/rpc.h
+++ b/src/transport/rpc.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// JSON-RPC 2.0 by libjsonrpccpp; HTTP carries it elsewhere, so that this header needs neither.
+/// JSON-RPC 2.0 messages, built and parsed with libjsonrpccpp; sending them is left to the HTTP modules.
 
 #ifndef BEACONGATE_TRANSPORT_RPC_H
 #define BEACONGATE_TRANSPORT_RPC_H
@@ -14,25 +14,25 @@
 
 namespace beacongate
 {
-/// Result of a call.
+/// Result of a JSON-RPC call.
 struct RpcResult
 {
 	bool ok = false;
-	std::string value; ///< The result's text, or the error's message.
+	std::string value; ///< The result string, or the error message.
 };
 
-/// Builds a call with one text parameter.
+/// Builds a JSON-RPC request with one string parameter, `text`.
 std::string rpcRequest(const std::string& _method, const std::string& _text);
 
-/// Reads the answer to such a call.
+/// Parses the response to a request of rpcRequest().
 RpcResult rpcResult(const std::string& _response);
 
-/// Methods that take one text and give one text; a thrown Error becomes a JSON-RPC error.
+/// A method with one string parameter and a string result; a thrown Error becomes a JSON-RPC error.
 using RpcMethod = std::function<std::string(const std::string& _text)>;
 
 struct RpcServerImpl;
 
-/// Dispatches calls to methods.
+/// Dispatches JSON-RPC requests to methods.
 class RpcServer
 {
 public:
@@ -41,7 +41,7 @@
 	RpcServer(const RpcServer&) = delete;
 	RpcServer& operator=(const RpcServer&) = delete;
 
-	/// @returns the JSON-RPC answer to a JSON-RPC request, also where that is malformed.
+	/// @returns the JSON-RPC response to a request; a malformed request gets an error response.
 	std::string handle(const std::string& _request);
 
 private:
--- a/src/transport/rpcclient.cpp
+++ b/src/transport/rpcclient.cpp
@@ -12,8 +12,8 @@
 {
 namespace
 {
-/// Carries one call without a network: keeps the request, gives a response that is there already.
-/// The library's client waits for its connector, which a thread with many calls cannot.
+/// Connector without a network: stores the request and returns a given response. The library's client blocks
+/// until its connector returns, which is not acceptable on a thread that handles many calls.
 class OfflineConnector : public jsonrpc::IClientConnector
 {
 public:
@@ -37,7 +37,7 @@
 	std::string m_request;
 };
 
-/// Answer to any call of the library's client, which numbers each call 1.
+/// Valid response to any call of the library's client, which gives each call the id 1.
 constexpr const char* kEmptyResponse = R"({"jsonrpc":"2.0","id":1,"result":""})";
 } // namespace
 
--- a/src/transport/rpcserver.cpp
+++ b/src/transport/rpcserver.cpp
@@ -15,7 +15,7 @@
 {
 namespace
 {
-/// In the range that JSON-RPC 2.0 leaves to servers, apart from the codes that the library uses itself.
+/// Error code in the range that JSON-RPC 2.0 reserves for servers, not used by the library itself.
 constexpr int kServerError = -32050;
 } // namespace
 
--- a/src/transport/serversession.cpp
+++ b/src/transport/serversession.cpp
@@ -262,7 +262,7 @@
 	{
 		return;
 	}
-	// A caller that speaks 1.0 knows no chunks: its answer ends with the connection.
+	// HTTP/1.0 has no chunked encoding, so the end of the connection ends the answer.
 	m_keepAlive = mayKeepAlive(false) && m_version == 11;
 	std::string bytes = formatHead(_status, _headers, m_keepAlive);
 	if (m_version == 11)
@@ -320,7 +320,7 @@
 	m_connection->resumeReading();
 	if (!m_input.empty())
 	{
-		// Bytes of the next request came early; they are read after the present call has returned.
+		// Pipelined bytes of the next request are parsed after the current call has returned.
 		asio::post(m_connection->executor(),
 				   [self = shared_from_this()]
 				   {
@@ -427,7 +427,8 @@
 			}
 			if (_error)
 			{
-				// Most likely out of descriptors: others end meanwhile.
+				// The process is probably out of file descriptors: retry after a pause, when connections may have
+				// ended.
 				m_retryTimer.expires_after(std::chrono::microseconds(kAcceptRetry));
 				m_retryTimer.async_wait(
 					[this](const BoostError& _stopped)
--- a/src/transport/serversession.h
+++ b/src/transport/serversession.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Server side of HTTP/1.1 connections: one request after the other, each answered whole or in pieces.
+/// Server side of HTTP/1.1 connections: sequential requests, each with a complete or a streamed answer.
 
 #ifndef BEACONGATE_TRANSPORT_SERVERSESSION_H
 #define BEACONGATE_TRANSPORT_SERVERSESSION_H
@@ -21,70 +21,71 @@
 class ServerSession;
 using ServerSessionPtr = std::shared_ptr<ServerSession>;
 
-/// A request that has arrived whole.
+/// A complete request.
 struct IncomingRequest
 {
 	MessageHead head;
 	std::string body;
-	Micros received = 0; ///< When its last byte was read.
+	Micros received = 0; ///< Monotonic time when its last byte was read.
 };
 
-/// What sessions share: limits, handlers and the set of open ones.
+/// State that all sessions of a server share: handlers, limits and the set of open sessions.
 struct ServerContext
 {
-	/// Handles a request; it is answered on the session at any later time.
+	/// Handles a request, which may be answered on its session at any later time.
 	std::function<void(const ServerSessionPtr&, IncomingRequest&&)> onRequest;
-	/// Makes the answer to bytes that are no acceptable request.
+	/// Builds the answer to a malformed or too large request.
 	std::function<HttpAnswer(ParseFault)> onMalformed;
-	/// Makes the answer to a request that did not arrive in time.
+	/// Builds the answer to a request that did not arrive in time, or whose body exceeded the shared buffer limit.
 	std::function<HttpAnswer()> onTimeout;
-	/// @returns the limits in force.
+	/// @returns the current limits.
 	std::function<RequestLimits()> limits;
-	/// @returns monotonic time.
+	/// @returns the monotonic time.
 	std::function<Micros()> now;
-	std::size_t bufferedBytes = 0; ///< Bodies that are held.
-	bool stopping = false;         ///< Each answer is the last of its connection.
+	std::size_t bufferedBytes = 0; ///< Bytes of request bodies that all sessions hold.
+	bool stopping = false;         ///< Each connection is closed after its next answer.
 	std::unordered_set<ServerSessionPtr> sessions;
 };
 
-/// One caller's connection.
+/// One client connection.
 class ServerSession : public std::enable_shared_from_this<ServerSession>
 {
 public:
 	ServerSession(std::shared_ptr<ServerContext> _context, TcpConnection::Ptr _connection);
 
-	/// Begins to read requests.
+	/// Starts reading requests.
 	void start();
 
-	/// Sets what is called when the caller leaves before its answer is whole; cleared by the answer's end.
+	/// Sets the handler for a client that disconnects before its answer is complete. The end of the answer clears
+	/// it.
 	void setGoneHandler(std::function<void()> _onGone);
 
-	/// Sets what is called when the caller has taken all bytes that were sent.
+	/// Sets the handler that is called when the system has accepted all bytes that were queued for sending.
 	void setDrainedHandler(std::function<void()> _onDrained);
 
-	/// Answers the present request whole.
-	/// @param[in] closeAfter The connection ends with this answer.
+	/// Sends a complete answer to the current request.
+	/// @param[in] closeAfter Closes the connection after this answer.
 	void answer(const HttpAnswer& _answer, bool _closeAfter = false);
 
 	/// Starts an answer of unknown length.
 	void startAnswer(unsigned _status, const HttpHeaders& _headers, std::string_view _firstBytes);
 
-	/// Adds bytes to an answer that was started.
+	/// Appends bytes to a started answer.
 	void sendPiece(std::string_view _bytes);
 
-	/// Ends an answer that was started.
+	/// Ends a started answer.
 	void finishAnswer();
 
-	/// Ends the connection so that the answer cannot be taken for whole.
+	/// Resets the connection, so that the client cannot take the answer as complete.
 	void abort();
 
-	/// @returns bytes that the caller has not taken.
+	/// @returns the number of queued bytes that the system has not accepted yet.
 	std::size_t unsent() const;
 
-	/// Closes the connection where no request is being read or answered.
+	/// Closes the connection if no request is being read or answered.
 	void closeIfIdle();
 
-	/// @returns whether a request is being read or answered.
+	/// @returns true if a request is being read or answered.
 	bool busy() const;
 
 private:
@@ -125,19 +126,19 @@
 	bool m_expectHandled = false;
 };
 
-/// Accepts connections for a context.
+/// Accepts connections and starts a session for each.
 class ServerListener
 {
 public:
 	/// Binds and listens.
-	/// @throws Error SettingInvalid where the address cannot be bound.
+	/// @throws Error SettingInvalid if the address cannot be bound.
 	ServerListener(boost::asio::io_context& _context, const Address& _address,
 				   std::shared_ptr<ServerContext> _shared);
 
-	/// Takes no further connections.
+	/// Stops accepting connections.
 	void close();
 
-	/// @returns the port in use, also where 0 was asked for.
+	/// @returns the bound port; if port 0 was given, the port that the system assigned.
 	std::uint16_t port() const;
 
 private:
--- a/src/transport/tcpconnection.cpp
+++ b/src/transport/tcpconnection.cpp
@@ -20,7 +20,8 @@
 {
 constexpr Micros kLinger = 1 * kSecond;
 
-/// One buffer serves all connections, since a read hands its bytes on before the next one.
+/// @returns the read buffer of this thread. All its connections share it, since each read passes its bytes on
+/// before the next read.
 std::array<char, limits::kReadBytes>& readBuffer()
 {
 	thread_local std::array<char, limits::kReadBytes> buffer{};
@@ -151,7 +152,7 @@
 	const auto self = shared_from_this();
 	if (m_handlers.onBytes)
 	{
-		// A handler may replace the handlers, so the one that runs is kept alive.
+		// The handler may replace the handlers, so a copy keeps the running one alive.
 		const auto handler = m_handlers.onBytes;
 		handler(std::string_view(buffer.data(), count));
 	}
@@ -177,7 +178,7 @@
 	const std::size_t count = m_socket.write_some(asio::buffer(m_unsent), error);
 	if (error && error != asio::error::would_block && error != asio::error::try_again)
 	{
-		// The reading side reports the end, so that a handler is never called from inside send().
+		// The read operation reports the end, so that no handler is called from inside send().
 		m_unsent.clear();
 		return;
 	}
@@ -224,7 +225,8 @@
 	m_lingerTimer.cancel();
 	BoostError ignored;
 	m_socket.close(ignored);
-	// The handlers own what owns this connection: dropping them later breaks that cycle safely.
+	// The handlers own the object that owns this connection. Destroying them here could destroy a running handler,
+	// so the cycle is broken after the current call.
 	asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->m_handlers = {}; });
 }
 
--- a/src/transport/tcpconnection.h
+++ b/src/transport/tcpconnection.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// One TCP connection on an event loop: reads that can be paused, writes that never block.
+/// Non-blocking TCP connection on an event loop, with reads that can be paused.
 
 #ifndef BEACONGATE_TRANSPORT_TCPCONNECTION_H
 #define BEACONGATE_TRANSPORT_TCPCONNECTION_H
@@ -21,22 +21,22 @@
 
 namespace beacongate
 {
-/// How the other side's direction of a connection ended.
+/// How the receiving direction of a connection ended.
 enum class ConnectionEnd
 {
-	Closed, ///< In order.
-	Broken, ///< Reset, timed out or unreachable.
+	Closed, ///< The other side closed the connection in order.
+	Broken, ///< The connection was reset or timed out, or the other side became unreachable.
 };
 
-/// What a connection calls. Handlers may close or drop the connection.
+/// Callbacks of a connection; they may close or release it.
 struct ConnectionHandlers
 {
 	std::function<void(std::string_view)> onBytes;
-	std::function<void(ConnectionEnd)> onEnd; ///< At most once; not after close().
-	std::function<void()> onDrained;          ///< All bytes given to send() were taken by the system.
+	std::function<void(ConnectionEnd)> onEnd; ///< Called at most once, and never after close().
+	std::function<void()> onDrained;          ///< The system has accepted all bytes passed to send().
 };
 
-/// A connection that is open or was.
+/// A TCP connection, open or closed.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection>
 {
 public:
@@ -44,51 +44,52 @@
 	using Ptr = std::shared_ptr<TcpConnection>;
 	using ConnectHandler = std::function<void(Ptr)>;
 
-	/// Takes over an open socket.
-	/// @param[in] userTimeout How long sent bytes may stay unacknowledged.
+	/// Takes ownership of a connected socket.
+	/// @param[in] userTimeout TCP_USER_TIMEOUT: maximum time that sent bytes may stay unacknowledged.
 	TcpConnection(Socket _socket, Micros _userTimeout);
 
 	/// Opens a connection.
-	/// @param[in] done Gets the connection, or nullptr where none came up within the span. Never called
-	/// from inside this function.
+	/// @param[in] span Timeout for establishing the connection.
+	/// @param[in] done Receives the connection, or nullptr if it could not be established in time. It is never
+	/// called from inside this function.
 	static void open(boost::asio::io_context& _context, const Address& _address, Micros _span, Micros _userTimeout,
 					 ConnectHandler _done);
 
-	/// Sets the handlers and begins to read.
+	/// Sets the handlers and starts reading.
 	void start(ConnectionHandlers _handlers);
 
-	/// Stops reading after the present bytes; the end of the connection is not noticed meanwhile.
+	/// Stops reading after the current bytes. While reading is paused, the end of the connection is not detected.
 	void pauseReading();
 
-	/// Goes on after pauseReading().
+	/// Continues to read after pauseReading().
 	void resumeReading();
 
-	/// Sends bytes, in order.
+	/// Sends bytes in order, without blocking; what the system does not accept at once is buffered.
 	void send(std::string_view _bytes);
 
-	/// @returns bytes that the system has not taken yet.
+	/// @returns the number of bytes that the system has not accepted yet.
 	std::size_t unsent() const
 	{
 		return m_unsent.size();
 	}
 
-	/// Closes at once; no handler is called any more.
+	/// Closes the connection at once; no handler is called afterwards.
 	void close();
 
-	/// Closes at once so that the other side sees a reset and not an end.
+	/// Closes the connection at once with a TCP reset instead of an orderly end.
 	void reset();
 
-	/// Sends what is left, ends this direction, and waits a short while for the other side to end,
-	/// so that bytes that are still arriving do not destroy the last ones sent.
+	/// Sends the remaining bytes, shuts down the sending direction, and waits up to 1 s for the other side to
+	/// close. Without the wait, bytes that still arrive would cause a reset, and the last bytes sent could be lost.
 	void closeAfterSending();
 
-	/// @returns the loop that the connection runs on.
+	/// @returns the executor of the loop that the connection runs on.
 	Socket::executor_type executor()
 	{
 		return m_socket.get_executor();
 	}
 
-	/// @returns whether close(), reset() or closeAfterSending() was called, or the connection broke.
+	/// @returns true if close(), reset() or closeAfterSending() was called, or the connection has ended.
 	bool closed() const
 	{
 		return m_closed || m_lingering;
--- a/tests/httpchanneltest.cpp
+++ b/tests/httpchanneltest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// How long a call on a kept connection may take.
+/// Timeouts of calls on a persistent connection.
 
 #include "transport/httpchannel.h"
 #include "daemon/clock.h"
@@ -18,13 +18,13 @@
 namespace
 {
 constexpr std::uint16_t kPort = 18104;
-constexpr std::size_t kRate = 500'000;       ///< Bytes a second.
-constexpr std::size_t kValueBytes = 150'000; ///< 0.4 s at that rate, in base64.
-constexpr Micros kSpan = 150 * kMillisecond; ///< Several pieces of the answer come within it.
+constexpr std::size_t kRate = 500'000;       ///< Bytes per second.
+constexpr std::size_t kValueBytes = 150'000; ///< Takes 0.4 s at this rate, in base64.
+constexpr Micros kSpan = 150 * kMillisecond; ///< Several parts of the answer arrive within this time.
 constexpr Micros kLongest = 2 * kSecond;
 constexpr std::size_t kMostBytes = 1u << 20;
 
-/// A store whose answers come slowly, and a channel to it.
+/// A store with a limited read rate, and a channel to it.
 class HttpChannelTest : public testing::Test
 {
 protected:
@@ -41,7 +41,7 @@
 		m_loop.run([this] { m_channel->close(); });
 	}
 
-	/// @returns whether the answer came whole.
+	/// @returns true if the complete answer arrived.
 	bool readWithin(Micros _span, Micros _longest)
 	{
 		ChannelRequest request;
--- a/tests/httpservertest.cpp
+++ b/tests/httpservertest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// How long the entry's server waits for a caller that sends slowly.
+/// Timeouts of the entry's HTTP server for clients that send slowly.
 
 #include "transport/httpserver.h"
 #include "daemon/clock.h"
@@ -47,7 +47,7 @@
 		::send(m_socket, _bytes.data(), _bytes.size(), MSG_NOSIGNAL);
 	}
 
-	/// @returns what came within the span; "closed" where the connection ended.
+	/// @returns the bytes that arrived before the timeout, or "closed" if the connection ended.
 	std::string hear(Micros _span) const
 	{
 		pollfd ready{m_socket, POLLIN, 0};
