--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -52,10 +52,10 @@
 	request.onProgress = [this]
 	{
 		// The channel is closed before this reader is destroyed, and calls nothing afterwards.
-		m_reachability.onHeard(monotonicNow());
+		m_reachability.onBytesReceived(monotonicNow());
 	};
 	m_requestedAt = monotonicNow();
-	m_reachability.onAsked(m_requestedAt);
+	m_reachability.onReadSent(m_requestedAt);
 	m_channel->call(std::move(request), m_idleTimeout,
 					[self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
 					{
--- a/tests/gatewayfleettest.cpp
+++ b/tests/gatewayfleettest.cpp
@@ -83,7 +83,7 @@
 	}
 };
 
-/// Guards against a second collector that treats no report as new, since its own answers are missing.
+/// Guards against a second collector of a data centre that answers no reports: it could treat none of them as new.
 TEST_F(GatewayFleetTest, eachGatewayHearsAllAlsoAfterTheFirstCollectorsStop)
 {
 	EXPECT_TRUE(await([&] { return allHear(kGateways); }, 6 * kSecond)) << gatewaysHeardByEach();
