--- a/src/coordination/controlcore.h
+++ b/src/coordination/controlcore.h
@@ -340,8 +340,7 @@
 	std::int64_t m_rosterRevision = 0;
 	bool m_rosterFresh = false; ///< m_roster equals the value that the store held at m_rosterRevision.
 	VmView m_vms;
-	std::map<std::string, unsigned>
-		m_vmMissing; ///< Consecutive lists without the VM, by id, for every VM that was ever listed.
+	std::map<std::string, unsigned> m_vmMissing; ///< Consecutive lists that lack each known VM.
 	std::optional<EntryReported> m_entry;
 
 	std::uint64_t m_nextOp = 1;
--- a/src/coordination/entryclaims.cpp
+++ b/src/coordination/entryclaims.cpp
@@ -12,7 +12,7 @@
 {
 namespace
 {
-/// Delay before a claim request that the home did not recordDecision or answer is resent.
+/// Delay before a claim request that the home did not decide or answer is resent.
 constexpr Micros kClaimRetryDelay = 50 * kMillisecond;
 /// Delay before an attachment request is resent.
 constexpr Micros kAttachRetryDelay = 500 * kMillisecond;
--- a/src/coordination/entrycore.h
+++ b/src/coordination/entrycore.h
@@ -201,10 +201,9 @@
 
 	std::unordered_map<RequestId, std::unique_ptr<Request>> m_requests;
 	std::unordered_map<AttemptId, RequestId> m_attempts;
-	std::unordered_map<std::string, RequestId> m_byKey; ///< Keyed requests executed here.
-	std::unordered_map<std::uint64_t, RequestId>
-		m_byClaimNumber; ///< Requests that wait for a claim reply, by claim number.
-	std::unordered_map<std::uint64_t, RequestId> m_byAttach; ///< Attachments to other entries, by number.
+	std::unordered_map<std::string, RequestId> m_byKey;           ///< Keyed requests executed here.
+	std::unordered_map<std::uint64_t, RequestId> m_byClaimNumber; ///< Requests that wait for a claim reply.
+	std::unordered_map<std::uint64_t, RequestId> m_byAttach;      ///< Attachments to other entries, by number.
 	std::unordered_map<ExchangeId, RequestId> m_byExchange;
 	std::deque<RequestId> m_keptOrder;
 	std::size_t m_keptBytes = 0;
@@ -224,8 +223,7 @@
 	Micros m_stopBy = kNever;
 	Micros m_handOverFrom = kNever; ///< Time from which requests are handed over to other entries.
 	bool m_answersHandedOver = false;
-	std::map<std::pair<EntryRef, std::uint64_t>, RequestId>
-		m_receivedHandovers; ///< Received handovers, by sender and number.
+	std::map<std::pair<EntryRef, std::uint64_t>, RequestId> m_receivedHandovers; ///< By sender and number.
 };
 
 } // namespace beacongate
--- a/src/coordination/entryhandover.cpp
+++ b/src/coordination/entryhandover.cpp
@@ -133,15 +133,15 @@
 	{
 		return; // Without a confirmation the sender offers it to another entry.
 	}
-	std::unique_ptr<Request> made = makeRequest(event, team, service);
-	Request& request = *made;
+	std::unique_ptr<Request> created = makeRequest(event, team, service);
+	Request& request = *created;
 	request.handedOver = true;
 	request.released = _message.released;
 	for (const std::string& token : _message.tokens)
 	{
 		request.tokens.append(token);
 	}
-	m_requests.emplace(request.id, std::move(made));
+	m_requests.emplace(request.id, std::move(created));
 	m_byKey.emplace(request.key, request.id);
 	m_active += 1;
 	m_deadlines.emplace(request.deadline, request.id);
--- a/src/coordination/entryrequests.cpp
+++ b/src/coordination/entryrequests.cpp
@@ -18,7 +18,7 @@
 /// Backoff of a backend server after a failed attempt; doubled with each consecutive failure.
 constexpr Micros kBackoffBase = 250 * kMillisecond;
 constexpr unsigned kMaxBackoffDoublings = 5;
-/// Assumed interval between tokens, to recordDecision whether a stream can finish before its backend server leaves.
+/// Assumed interval between tokens, to decide whether a stream can finish before its backend server leaves.
 constexpr Micros kTokenInterval = 50 * kMillisecond;
 
 std::uint64_t digestOf(const CallPayload& _payload)
@@ -55,9 +55,9 @@
 		reject(_event.exchange, failure, "no such service or model: " + _event.service, 0);
 		return;
 	}
-	std::unique_ptr<Request> made = makeRequest(_event, team, service);
-	Request& request = *made;
-	m_requests.emplace(request.id, std::move(made));
+	std::unique_ptr<Request> created = makeRequest(_event, team, service);
+	Request& request = *created;
+	m_requests.emplace(request.id, std::move(created));
 	m_active += 1;
 	m_stats.accepted += 1;
 	m_deadlines.emplace(request.deadline, request.id);
--- a/src/coordination/events.h
+++ b/src/coordination/events.h
@@ -121,8 +121,7 @@
 	std::shared_ptr<const CallPayload> payload;
 	std::shared_ptr<const std::vector<std::string>> delivered; ///< Tokens after which the answer resumes, or null.
 	int priority = 0;
-	bool repeatable =
-		false; ///< If false, it uses a connection of its own, so that "nothing sent" can be determined.
+	bool repeatable = false; ///< If false, it gets its own connection, so that NotSent is certain.
 	Micros deadline = kNever;
 };
 
--- a/src/coordination/peermessages.h
+++ b/src/coordination/peermessages.h
@@ -46,8 +46,7 @@
 	std::uint64_t digest = 0; ///< Hash of the request; another request with the same key is rejected.
 	ClaimRequestRef executor;
 	ClaimState state = ClaimState::Granted;
-	std::uint64_t generation =
-		0; ///< Increases with each grant of the key; the copy with the larger value is newer.
+	std::uint64_t generation = 0; ///< Increases with each grant; the copy with the larger value is newer.
 };
 
 /// Final answer of a keyed request, kept for callers that repeat the key.
@@ -68,8 +67,7 @@
 	std::uint64_t digest = 0;
 	std::uint64_t rosterVersion = 0;
 	std::uint64_t issuedVersion = 0;
-	std::optional<ClaimRequestRef>
-		released; ///< Earlier grant whose holder reported that the request never started.
+	std::optional<ClaimRequestRef> released; ///< Earlier grant under which nothing was started.
 };
 
 /// Home's answer to a ClaimRequest.
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -381,7 +381,7 @@
 
 	void handleAction(std::size_t _node, Action& _action)
 	{
-		describe(_node, _action);
+		noteAction(_node, _action);
 		if (SendPeer* sendPeer = std::get_if<SendPeer>(&_action))
 		{
 			messages.push_back(PendingMessage{self(_node), sendPeer->to, std::move(sendPeer->message)});
@@ -430,7 +430,7 @@
 		}
 	}
 
-	void describe(std::size_t _node, const Action& _action)
+	void noteAction(std::size_t _node, const Action& _action)
 	{
 		const std::string entry = "e" + std::to_string(_node);
 		if (const StartAttempt* start = std::get_if<StartAttempt>(&_action))
