--- a/src/daemon/controlapp.cpp
+++ b/src/daemon/controlapp.cpp
@@ -391,7 +391,7 @@
 		const std::lock_guard lock(m_changesMutex);
 		change.requestNumber = m_nextChange++;
 		m_changes.emplace(change.requestNumber, std::nullopt);
-		while (m_changes.size() > kChangesKept)
+		while (m_changes.size() > kMaxStoredChanges)
 		{
 			m_changes.erase(m_changes.begin());
 		}
--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -21,12 +21,12 @@
 	return EntryRef{_json.at(0).get<std::string>(), _json.at(1).get<std::uint64_t>()};
 }
 
-Json encode(const ClaimRequestRef& _ask)
+Json encode(const ClaimRequestRef& _requestRef)
 {
 	return Json::array({_requestRef.entry.id, _requestRef.entry.incarnation, _requestRef.number});
 }
 
-ClaimRequestRef decodeAsk(const Json& _json)
+ClaimRequestRef decodeClaimRequestRef(const Json& _json)
 {
 	return ClaimRequestRef{decodeEntry(_json), _json.at(2).get<std::uint64_t>()};
 }
@@ -113,11 +113,11 @@
 	return answer;
 }
 
-Json encodeMessage(const ClaimRequest& _m)
+Json encodeMessage(const ClaimRequest& _message)
 {
-	Json json{{"t", "ask"},     {"ask", encode(_m.requestRef)}, {"k", _m.key},
-			  {"d", _m.digest}, {"v", _m.rosterVersion},        {"i", _m.issuedVersion}};
-	if (_m.released)
+	Json json{{"t", "ask"},           {"ask", encode(_message.requestRef)}, {"k", _message.key},
+			  {"d", _message.digest}, {"v", _message.rosterVersion},        {"i", _message.issuedVersion}};
+	if (_message.released)
 	{
 		json["r"] = encode(*_message.released);
 	}
@@ -126,15 +126,21 @@
 
 Json encodeMessage(const ClaimReply& _message)
 {
-	return {{"t", "reply"},          {"ask", encode(_m.requestRef)},
-			{"k", _m.key},           {"w", static_cast<int>(_m.verdict)},
-			{"c", encode(_m.claim)}, {"v", _m.rosterVersion}};
+	return {{"t", "reply"},
+			{"ask", encode(_message.requestRef)},
+			{"k", _message.key},
+			{"w", static_cast<int>(_message.verdict)},
+			{"c", encode(_message.claim)},
+			{"v", _message.rosterVersion}};
 }
 
 Json encodeMessage(const ClaimUpdate& _message)
 {
-	Json json{{"t", "update"}, {"k", _m.key}, {"x", encode(_m.executor)}, {"f", static_cast<int>(_m.result)}};
-	if (_m.answer)
+	Json json{{"t", "update"},
+			  {"k", _message.key},
+			  {"x", encode(_message.executor)},
+			  {"f", static_cast<int>(_message.result)}};
+	if (_message.answer)
 	{
 		json["a"] = encode(*_message.answer);
 	}
@@ -156,7 +162,7 @@
 	return {{"t", "sealed"}, {"v", _message.version}};
 }
 
-Json encodeMessage(const AttachRequest& _m)
+Json encodeMessage(const AttachRequest& _message)
 {
 	return {{"t", "attach"},
 			{"n", _message.attach},
@@ -172,8 +178,12 @@
 
 Json encodeMessage(const AttachEnd& _message)
 {
-	return {{"t", "end"},      {"n", _m.attach},         {"f", static_cast<int>(_m.result)},
-			{"kept", _m.kept}, {"a", encode(_m.answer)}, {"c", _m.tokenCount}};
+	return {{"t", "end"},
+			{"n", _message.attach},
+			{"f", static_cast<int>(_message.result)},
+			{"kept", _message.kept},
+			{"a", encode(_message.answer)},
+			{"c", _message.tokenCount}};
 }
 
 Json encodeMessage(const RequestHandover& _message)
@@ -231,17 +241,17 @@
 	return handover;
 }
 
-ClaimRequest decodeClaimAsk(const Json& _json)
+ClaimRequest decodeClaimRequest(const Json& _json)
 {
 	ClaimRequest request;
-	request.requestRef = decodeAsk(_json.at("ask"));
+	request.requestRef = decodeClaimRequestRef(_json.at("ask"));
 	request.key = _json.at("k").get<std::string>();
 	request.digest = _json.at("d").get<std::uint64_t>();
 	request.rosterVersion = _json.at("v").get<std::uint64_t>();
 	request.issuedVersion = _json.at("i").get<std::uint64_t>();
 	if (_json.contains("r"))
 	{
-		request.released = decodeAsk(_json.at("r"));
+		request.released = decodeClaimRequestRef(_json.at("r"));
 	}
 	return request;
 }
@@ -249,7 +259,7 @@
 ClaimReply decodeClaimReply(const Json& _json)
 {
 	ClaimReply reply;
-	reply.requestRef = decodeAsk(_json.at("ask"));
+	reply.requestRef = decodeClaimRequestRef(_json.at("ask"));
 	reply.key = _json.at("k").get<std::string>();
 	reply.verdict = decodeEnum(_json.at("w"), ClaimVerdict::Mismatch);
 	reply.claim = decodeClaim(_json.at("c"));
@@ -261,7 +271,7 @@
 {
 	ClaimUpdate update;
 	update.key = _json.at("k").get<std::string>();
-	update.executor = decodeAsk(_json.at("x"));
+	update.executor = decodeClaimRequestRef(_json.at("x"));
 	update.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	if (_json.contains("a"))
 	{
@@ -281,12 +291,12 @@
 	return seal;
 }
 
-AttachRequest decodeAttachAsk(const Json& _json)
+AttachRequest decodeAttachRequest(const Json& _json)
 {
 	AttachRequest request;
 	request.attach = _json.at("n").get<std::uint64_t>();
 	request.key = _json.at("k").get<std::string>();
-	request.executor = decodeAsk(_json.at("x"));
+	request.executor = decodeClaimRequestRef(_json.at("x"));
 	request.offset = _json.at("o").get<std::uint64_t>();
 	return request;
 }
--- a/tests/buildstest.cpp
+++ b/tests/buildstest.cpp
@@ -75,7 +75,7 @@
 TEST(GossipCompatibility, decodesAllFieldsOfFormat6)
 {
 	const auto message = decodeGossip(readGoldenDatagram("gossip-6"));
-	expectAll(message);
+	expectGoldenContent(message);
 	ASSERT_TRUE(message);
 	EXPECT_TRUE(message->levels.empty()); // Format 6 has no levels: a gateway that starts enforces its own share.
 }
@@ -83,7 +83,7 @@
 TEST(GossipCompatibility, decodesAllFieldsOfFormat7)
 {
 	const auto message = decodeGossip(readGoldenDatagram("gossip-7"));
-	expectAll(message);
+	expectGoldenContent(message);
 	ASSERT_TRUE(message);
 	ASSERT_EQ(message->levels.size(), 1u);
 	EXPECT_EQ(message->levels[0].left, 17.5);
@@ -91,11 +91,11 @@
 
 TEST(GossipCompatibility, encodesTheFormatThatThePreviousBuildAccepts)
 {
-	// It takes a datagram only with its own number and as many fields as it knows.
+	// The previous build accepts only format 7 with exactly its fields.
 	const auto message = decodeGossip(readGoldenDatagram("gossip-7"));
 	ASSERT_TRUE(message);
 	EXPECT_EQ(encodeGossip(*message), readGoldenDatagram("gossip-7"));
-	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage())).size(), kFieldsOf7);
+	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage())).size(), kFormat7FieldCount);
 	EXPECT_EQ(fieldsOf(encodeGossip(GossipMessage()))[0], 7);
 }
 
@@ -146,9 +146,9 @@
 {
 	for (const char* name : {"gossip-6", "gossip-7"})
 	{
-		const std::string whole = readGoldenDatagram(name);
-		std::string changed = whole;
-		changed[place % changed.size()] = static_cast<char>(byte);
+		const std::string datagram = readGoldenDatagram(name);
+		std::string changed = datagram;
+		changed[position % changed.size()] = static_cast<char>(byte);
 		decodeGossip(changed);
 		decodeGossip(datagram + changed);
 		RC_ASSERT(!decodeGossip(datagram + static_cast<char>(byte)));
@@ -160,7 +160,7 @@
 			  (std::uint8_t firstIndex, std::uint8_t secondIndex))
 {
 	Json fields = fieldsOf(readGoldenDatagram("gossip-7"));
-	std::swap(fields[one % fields.size()], fields[other % fields.size()]);
+	std::swap(fields[firstIndex % fields.size()], fields[secondIndex % fields.size()]);
 	const auto message = decodeGossip(bytesOf(fields));
 	if (message)
 	{
--- a/tests/quotacodectest.cpp
+++ b/tests/quotacodectest.cpp
@@ -34,12 +34,12 @@
 
 TEST(QuotaCodec, decodesAndEncodesTheGoldenDatagrams)
 {
-	expectSame(readGoldenDatagram("quota-ask-7"), kAsk);
-	expectSame(readGoldenDatagram("quota-answer-7"), kAnswer);
-	expectSame(readGoldenDatagram("quota-return-7"), kReturn);
-	EXPECT_EQ(encodeQuota(kAsk), readGoldenDatagram("quota-ask-7"));
-	EXPECT_EQ(encodeQuota(kAnswer), readGoldenDatagram("quota-answer-7"));
-	EXPECT_EQ(encodeQuota(kReturn), readGoldenDatagram("quota-return-7"));
+	expectDecodesTo(readGoldenDatagram("quota-ask-7"), kGrantRequest);
+	expectDecodesTo(readGoldenDatagram("quota-answer-7"), kGrantAnswer);
+	expectDecodesTo(readGoldenDatagram("quota-return-7"), kGrantReturn);
+	EXPECT_EQ(encodeQuota(kGrantRequest), readGoldenDatagram("quota-ask-7"));
+	EXPECT_EQ(encodeQuota(kGrantAnswer), readGoldenDatagram("quota-answer-7"));
+	EXPECT_EQ(encodeQuota(kGrantReturn), readGoldenDatagram("quota-return-7"));
 }
 
 TEST(QuotaCodec, roundTripsAllFieldsOfAnAnswer)
