--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -212,7 +212,7 @@
 	/// @param[in] _confirmedAt Time at which this gateway sent the message that the peer has answered. The report
 	/// is at least as recent.
 	/// @param[in] _gateways Number of gateways that the peer speaks for.
-	void onHeard(const std::string& _peer, Micros _now, Micros _proved, std::size_t _gateways = 1);
+	void onHeard(const std::string& _peer, Micros _now, Micros _confirmedAt, std::size_t _gateways = 1);
 
 	/// Records sums of a collector. Must be called after onReport() for the same message, instead of onHeard().
 	/// @param[in] _group Names the gateways that the sums cover. One collector of each group is followed at a time.
@@ -221,7 +221,7 @@
 	/// one is in no increase, and is estimated from the rate. When it was taken for 0, 13 gateways whose two
 	/// collectors were killed assumed 0.9 s of a team's rate more than 15 others did, and admitted two thirds of
 	/// the usage of all 87 gateways while the team requested three times its limit.
-	void onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _proved,
+	void onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _confirmedAt,
 				std::size_t _gateways);
 
 	/// Records usage of a request that is run again. It is charged whatever is left.
@@ -267,13 +267,13 @@
 	/// The amounts that a decision depends on.
 	struct Availability
 	{
-		bool isolated = false; ///< This gateway goes by its equal share.
+		bool isolated = false; ///< This gateway is limited to its equal share.
 		double level = 0.0;
 		double own = 0.0; ///< What is left of the equal share.
 	};
 
-	/// @returns true if this gateway goes by its equal share, because it has lost contact with most of the others
-	/// or has just started.
+	/// @returns true if this gateway is limited to its equal share, because it has lost contact with most of the
+	/// others or has just started.
 	/// @remarks It then admits no more than its share of the rate and of the burst. The share of the rate that it
 	/// leaves to the others is forgotten after the bucket's history, so without this bound each of 30 of 87
 	/// gateways that were cut off had a whole burst: 14.58 of 11.03 million tokens in 8 s for a team that requests
@@ -286,7 +286,7 @@
 	/// other.
 	bool exceedsFairShare(const Team& _team, const Availability& _availability, double _amount, Micros _now) const;
 	/// @returns the propagation delay in seconds.
-	double propagationDelay() const;
+	double propagationSeconds() const;
 	static QuotaVerdict refusal(const Team& _team, const Availability& _availability, double _amount);
 	/// @returns the time until a request may be tried again at a level.
 	static Micros waitAt(double _level, const Team& _team, double _amount);
