--- a/src/protocol/peercodec.cpp
+++ b/src/protocol/peercodec.cpp
@@ -115,8 +115,8 @@
 
 Json encodeMessage(const ClaimRequest& _message)
 {
-	Json json{{"t", "ask"},           {"ask", encode(_message.ask)}, {"k", _message.key},
-			  {"d", _message.digest}, {"v", _message.rosterVersion}, {"i", _message.issuedVersion}};
+	Json json{{"t", "ask"},           {"ask", encode(_message.requestRef)}, {"k", _message.key},
+			  {"d", _message.digest}, {"v", _message.rosterVersion},        {"i", _message.issuedVersion}};
 	if (_message.released)
 	{
 		json["r"] = encode(*_message.released);
@@ -127,7 +127,7 @@
 Json encodeMessage(const ClaimReply& _message)
 {
 	return {{"t", "reply"},
-			{"ask", encode(_message.ask)},
+			{"ask", encode(_message.requestRef)},
 			{"k", _message.key},
 			{"w", static_cast<int>(_message.verdict)},
 			{"c", encode(_message.claim)},
@@ -139,7 +139,7 @@
 	Json json{{"t", "update"},
 			  {"k", _message.key},
 			  {"x", encode(_message.executor)},
-			  {"f", static_cast<int>(_message.fate)}};
+			  {"f", static_cast<int>(_message.result)}};
 	if (_message.answer)
 	{
 		json["a"] = encode(*_message.answer);
@@ -180,7 +180,7 @@
 {
 	return {{"t", "end"},
 			{"n", _message.attach},
-			{"f", static_cast<int>(_message.fate)},
+			{"f", static_cast<int>(_message.result)},
 			{"kept", _message.kept},
 			{"a", encode(_message.answer)},
 			{"c", _message.tokenCount}};
@@ -244,7 +244,7 @@
 ClaimRequest decodeClaimRequest(const Json& _json)
 {
 	ClaimRequest request;
-	request.ask = decodeClaimRequestRef(_json.at("ask"));
+	request.requestRef = decodeClaimRequestRef(_json.at("ask"));
 	request.key = _json.at("k").get<std::string>();
 	request.digest = _json.at("d").get<std::uint64_t>();
 	request.rosterVersion = _json.at("v").get<std::uint64_t>();
@@ -259,7 +259,7 @@
 ClaimReply decodeClaimReply(const Json& _json)
 {
 	ClaimReply reply;
-	reply.ask = decodeClaimRequestRef(_json.at("ask"));
+	reply.requestRef = decodeClaimRequestRef(_json.at("ask"));
 	reply.key = _json.at("k").get<std::string>();
 	reply.verdict = decodeEnum(_json.at("w"), ClaimVerdict::Mismatch);
 	reply.claim = decodeClaim(_json.at("c"));
@@ -272,7 +272,7 @@
 	ClaimUpdate update;
 	update.key = _json.at("k").get<std::string>();
 	update.executor = decodeClaimRequestRef(_json.at("x"));
-	update.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
+	update.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	if (_json.contains("a"))
 	{
 		update.answer = decodeAnswer(_json.at("a"));
@@ -314,7 +314,7 @@
 {
 	AttachEnd end;
 	end.attach = _json.at("n").get<std::uint64_t>();
-	end.fate = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
+	end.result = decodeEnum(_json.at("f"), ExecutionResult::Unknown);
 	end.kept = _json.at("kept").get<bool>();
 	end.answer = decodeAnswer(_json.at("a"));
 	end.tokenCount = _json.at("c").get<std::uint64_t>();
