--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -432,8 +432,8 @@
 		liveness.contact(_now) == FleetContact::Established && liveness.silentShare(_now) < kMaxSilentShare;
 	observation.settled = hearsMost && m_context.demand.settled(_service.name, _now);
 	observation.firstStart = m_context.settings.firstStart;
-	observation.listed = m_startListings[_service.name].complete(_onDemand, _now, _servers);
-	observation.running = m_startListings[_service.name].running();
+	observation.listed = m_initialListings[_service.name].complete(_onDemand, _now, _servers);
+	observation.running = m_initialListings[_service.name].running();
 	return CapacityPlanner::needFor(*_service.scaling, observation);
 }
 
--- a/src/gateway/gatewaymetrics.h
+++ b/src/gateway/gatewaymetrics.h
@@ -54,8 +54,8 @@
 
 	/// Records that a request was sent to a backend server.
 	/// @param[in] _listAge Age of the list of backend servers at that moment.
-	/// @param[in] _standing State of the backend server in that list.
-	void onSent(const std::string& _service, Micros _listAge, ListingState _standing);
+	/// @param[in] _listingState State of the backend server in that list.
+	void onSent(const std::string& _service, Micros _listAge, ListingState _listingState);
 
 	/// Records that a request waits for a newer list of backend servers.
 	/// @param[in] _again Whether the request was counted before.
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -268,8 +268,8 @@
 	const bool crowded = known.size() > limits::kGossipPeers;
 	const std::vector<std::string> targets =
 		GossipPlan::targets(std::move(known), holder, limits::kGossipPeers, m_context.random);
-	GossipMessage whole = describe(_now);
-	whole.members = m_context.peers.liveHosts(_now);
+	GossipMessage report = makeReport(_now);
+	report.members = m_context.peers.liveHosts(_now);
 	for (const std::string& host : targets)
 	{
 		GossipMessage message = report;
@@ -290,7 +290,7 @@
 
 std::vector<QuotaLevel> Gossiper::levelsFor(const std::string& _host, Micros _now) const
 {
-	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kSettling);
+	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kStartupSpan);
 	return young ? m_context.quotas.levelsToReport(_now) : std::vector<QuotaLevel>();
 }
 
