--- a/tools/bench.cpp
+++ b/tools/bench.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongate-bench: measures the decision cores and documents at several sizes and fits slopes.
-// docs/CAPACITY.md is worked out from what it prints.
+// Program beacongate-bench: measures the memory and time that the entry core and the documents take at several
+// sizes and fits a line to each series. docs/CAPACITY.md is calculated from its output.
 
 #include "coordination/entrycore.h"
 #include "daemon/clock.h"
@@ -22,15 +22,16 @@
 {
 using namespace beacongate;
 
-/// One reading: a size and what was measured at it.
-struct Reading
+/// A measured value and the size at which it was measured.
+struct Measurement
 {
 	double size = 0.0;
 	double value = 0.0;
 };
 
-/// Prints readings with the least-squares line through them.
-void report(const char* _what, const char* _per, const char* _unit, const std::vector<Reading>& _readings)
+/// Prints measurements and the least-squares line fitted to them.
+void printSeries(const char* _what, const char* _per, const char* _unit,
+				 const std::vector<Measurement>& _measurements)
 {
 	double n = 0.0;
 	double sx = 0.0;
@@ -38,14 +39,14 @@
 	double sxx = 0.0;
 	double sxy = 0.0;
 	std::printf("| %s |", _what);
-	for (const Reading& reading : _readings)
+	for (const Measurement& measurement : _measurements)
 	{
 		n += 1.0;
-		sx += reading.size;
-		sy += reading.value;
-		sxx += reading.size * reading.size;
-		sxy += reading.size * reading.value;
-		std::printf(" %.0f: %.4g", reading.size, reading.value);
+		sx += measurement.size;
+		sy += measurement.value;
+		sxx += measurement.size * measurement.size;
+		sxy += measurement.size * measurement.value;
+		std::printf(" %.0f: %.4g", measurement.size, measurement.value);
 	}
 	const double slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
 	std::printf(" | %.4g %s per %s, at zero %.4g |\n", slope, _unit, _per, (sy - slope * sx) / n);
@@ -57,15 +58,15 @@
 	return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-/// @returns bytes that a function's result keeps on the heap.
-double bytesOf(const std::function<std::shared_ptr<void>()>& _make)
+/// @returns the heap memory in bytes that the result of a function occupies.
+double heapBytesOf(const std::function<std::shared_ptr<void>()>& _make)
 {
 	const double before = heapBytes();
 	const std::shared_ptr<void> kept = _make();
 	return heapBytes() - before;
 }
 
-/// @returns microseconds that a run takes, the best of three.
+/// @returns the shortest duration of three runs, in microseconds.
 double microsOf(const std::function<void()>& _run)
 {
 	double best = 1e18;
@@ -153,7 +154,8 @@
 	return request;
 }
 
-/// Runs whole requests: accepted, dispatched, one token, done.
+/// Runs requests from acceptance to completion, each with one token.
+/// @returns the mean time of a request, in microseconds.
 double microsPerRequest(std::size_t _backends, std::size_t _teams)
 {
 	const std::shared_ptr<EntryCore> core = makeCore(_backends, _teams);
@@ -178,34 +180,37 @@
 
 void benchEntry()
 {
-	std::vector<Reading> memory;
-	std::vector<Reading> time;
+	std::vector<Measurement> memory;
+	std::vector<Measurement> time;
 	for (const std::size_t backends : {10u, 100u, 1000u, 10'000u})
 	{
 		const auto size = static_cast<double>(backends);
-		memory.push_back({size, bytesOf([&] { return makeCore(backends, 5); })});
+		memory.push_back({size, heapBytesOf([&] { return makeCore(backends, 5); })});
 		time.push_back({size, microsPerRequest(backends, 5)});
 	}
-	report("entry: memory by backend servers known", "backend server", "B", memory);
-	report("entry: time of a request by backend servers known", "backend server", "us", time);
+	printSeries("entry: memory by backend servers known", "backend server", "B", memory);
+	printSeries("entry: time of a request by backend servers known", "backend server", "us", time);
 	memory.clear();
 	time.clear();
 	for (const std::size_t teams : {5u, 50u, 500u})
 	{
 		const auto size = static_cast<double>(teams);
-		memory.push_back({size, bytesOf([&] { return makeCore(20, teams); })});
+		memory.push_back({size, heapBytesOf([&] { return makeCore(20, teams); })});
 		time.push_back({size, microsPerRequest(20, teams)});
 	}
-	report("entry: memory by teams", "team", "B", memory);
-	report("entry: time of a request by teams", "team", "us", time);
+	printSeries("entry: memory by teams", "team", "B", memory);
+	printSeries("entry: time of a request by teams", "team", "us", time);
 }
 
-/// Fills a core with requests that run, wait or have ended.
-std::shared_ptr<EntryCore> filledCore(std::size_t _requests, bool _room, std::size_t _tokens, bool _keyed)
+/// @returns an entry core that holds requests.
+/// @param[in] _slotsFree Whether slots are free, so that requests are dispatched; otherwise all but one queue.
+/// @param[in] _tokens Tokens that each request receives.
+/// @param[in] _keyed Whether each request has an idempotency key and is completed.
+std::shared_ptr<EntryCore> filledCore(std::size_t _requests, bool _slotsFree, std::size_t _tokens, bool _keyed)
 {
-	auto core = makeCore(_room ? 20 : 1, 5);
+	auto core = makeCore(_slotsFree ? 20 : 1, 5);
 	Actions actions;
-	if (!_room)
+	if (!_slotsFree)
 	{
 		SnapshotArrived arrived;
 		auto config = makeConfig(1, 5);
@@ -234,24 +239,24 @@
 
 void benchRequests()
 {
-	std::vector<Reading> queued;
-	std::vector<Reading> streams;
-	std::vector<Reading> keys;
+	std::vector<Measurement> queued;
+	std::vector<Measurement> streams;
+	std::vector<Measurement> claims;
 	for (const std::size_t count : {1000u, 4000u, 16'000u})
 	{
 		const auto size = static_cast<double>(count);
-		queued.push_back({size, bytesOf([&] { return filledCore(count, false, 0, false); })});
-		streams.push_back({size, bytesOf([&] { return filledCore(count, true, 300, false); })});
-		keys.push_back({size, bytesOf([&] { return filledCore(count, true, 300, true); })});
+		queued.push_back({size, heapBytesOf([&] { return filledCore(count, false, 0, false); })});
+		streams.push_back({size, heapBytesOf([&] { return filledCore(count, true, 300, false); })});
+		claims.push_back({size, heapBytesOf([&] { return filledCore(count, true, 300, true); })});
 	}
-	report("entry: memory by queued requests (1.2 kB bodies)", "request", "B", queued);
-	report("entry: memory by open streams (300 tokens sent)", "stream", "B", streams);
-	report("entry: memory by keys claimed and answered (300 tokens kept)", "key", "B", keys);
+	printSeries("entry: memory by queued requests (1.2 kB bodies)", "request", "B", queued);
+	printSeries("entry: memory by open streams (300 tokens sent)", "stream", "B", streams);
+	printSeries("entry: memory by keys claimed and answered (300 tokens kept)", "key", "B", claims);
 }
 
 void benchTokens()
 {
-	std::vector<Reading> time;
+	std::vector<Measurement> time;
 	for (const std::size_t streams : {100u, 1000u, 4000u})
 	{
 		const std::shared_ptr<EntryCore> core = filledCore(streams, true, 0, false);
@@ -273,12 +278,12 @@
 			});
 		time.push_back({static_cast<double>(streams), total / static_cast<double>(kRounds * streams)});
 	}
-	report("entry: time of a token by open streams", "stream", "us", time);
+	printSeries("entry: time of a token by open streams", "stream", "us", time);
 }
 
 void benchExchange()
 {
-	std::vector<Reading> bytes;
+	std::vector<Measurement> bytes;
 	for (const std::size_t members : {9u, 100u, 282u})
 	{
 		PeerExchange exchange;
@@ -286,20 +291,20 @@
 		exchange.versions = VersionSet{7200, 300, 12'345'678'901'234'567u};
 		const double idle = static_cast<double>(rpcRequest("exchange", toJson(exchange).dump()).size());
 		exchange.rosterText = jsonDocumentCodec().writeRoster(*makeRoster(members));
-		const double news = static_cast<double>(rpcRequest("exchange", toJson(exchange).dump()).size());
+		const double withRoster = static_cast<double>(rpcRequest("exchange", toJson(exchange).dump()).size());
 		std::printf("| exchange of two controls, body at %zu members | idle: %.0f B, with a roster: %.0f B | |\n",
-					members, idle, news);
-		bytes.push_back({static_cast<double>(members), news});
+					members, idle, withRoster);
+		bytes.push_back({static_cast<double>(members), withRoster});
 	}
-	report("exchange with a roster", "member", "B", bytes);
+	printSeries("exchange with a roster", "member", "B", bytes);
 }
 
 void benchRoster()
 {
-	std::vector<Reading> home;
-	std::vector<Reading> adopt;
-	std::vector<Reading> text;
-	std::vector<Reading> parse;
+	std::vector<Measurement> home;
+	std::vector<Measurement> adoption;
+	std::vector<Measurement> text;
+	std::vector<Measurement> parse;
 	for (const std::size_t members : {9u, 100u, 282u, 1000u})
 	{
 		const auto size = static_cast<double>(members);
@@ -314,21 +319,21 @@
 									  }
 								  }) /
 								  kKeys});
-		adopt.push_back({size, microsOf(
-								   [&]
-								   {
-									   HomeTable table(roster->members[0].entry);
-									   table.adopt(roster, {}, 0);
-								   })});
+		adoption.push_back({size, microsOf(
+									  [&]
+									  {
+										  HomeTable table(roster->members[0].entry);
+										  table.adopt(roster, {}, 0);
+									  })});
 		const std::string json = jsonDocumentCodec().writeRoster(*roster);
 		text.push_back({size, static_cast<double>(json.size())});
 		parse.push_back({size, microsOf([&] { jsonDocumentCodec().readRoster(json); })});
 	}
-	report("home of a key by roster size", "member", "us", home);
-	report("adopting a roster without claims, with its seals", "member", "us", adopt);
-	report("roster document", "member", "B", text);
-	report("reading a roster document", "member", "us", parse);
-	std::vector<Reading> sealing;
+	printSeries("home of a key by roster size", "member", "us", home);
+	printSeries("adopting a roster without claims, with its seals", "member", "us", adoption);
+	printSeries("roster document", "member", "B", text);
+	printSeries("reading a roster document", "member", "us", parse);
+	std::vector<Measurement> sealing;
 	for (const std::size_t claims : {500u, 2000u, 8000u})
 	{
 		const std::shared_ptr<Roster> roster = makeRoster(282);
@@ -348,14 +353,14 @@
 																			executed, 0);
 															})});
 	}
-	report("sealing to 281 entries by claims", "claim", "us", sealing);
+	printSeries("sealing to 281 entries by claims", "claim", "us", sealing);
 }
 
 void benchConfig()
 {
-	std::vector<Reading> bytes;
-	std::vector<Reading> time;
-	std::vector<Reading> memory;
+	std::vector<Measurement> bytes;
+	std::vector<Measurement> time;
+	std::vector<Measurement> memory;
 	for (const std::size_t backends : {30u, 300u, 3000u})
 	{
 		const auto size = static_cast<double>(backends);
@@ -374,11 +379,11 @@
 		bytes.push_back({size, static_cast<double>(text.size())});
 		time.push_back({size, microsOf([&] { jsonDocumentCodec().readConfig(text); })});
 		memory.push_back(
-			{size, bytesOf([&] { return std::make_shared<ConfigDoc>(jsonDocumentCodec().readConfig(text)); })});
+			{size, heapBytesOf([&] { return std::make_shared<ConfigDoc>(jsonDocumentCodec().readConfig(text)); })});
 	}
-	report("configuration document", "backend server", "B", bytes);
-	report("reading and checking it", "backend server", "us", time);
-	report("keeping it (text and values)", "backend server", "B", memory);
+	printSeries("configuration document", "backend server", "B", bytes);
+	printSeries("reading and checking it", "backend server", "us", time);
+	printSeries("keeping it (text and values)", "backend server", "B", memory);
 }
 } // namespace
 
--- a/tools/control.cpp
+++ b/tools/control.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongate-control.
+// Program beacongate-control: runs one control process until a stop signal.
 
 #include "daemon/logging.h"
 #include "daemon/options.h"
--- a/tools/ctl.cpp
+++ b/tools/ctl.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongatectl: the operators' query and command language.
+// Program beacongatectl: command-line client with which operators query state and change the configuration.
 
 #include "daemon/clock.h"
 #include "daemon/options.h"
@@ -25,14 +25,14 @@
 using namespace beacongate;
 
 constexpr Micros kCallTimeout = 5 * kSecond;
-constexpr Micros kChangeWait = 40 * kSecond;
-constexpr std::chrono::milliseconds kPollPause{50};
+constexpr Micros kChangeTimeout = 40 * kSecond;
+constexpr std::chrono::milliseconds kPollInterval{50};
 
-/// A process did not answer.
-class Unreachable : public Error
+/// Thrown when a process does not answer a call.
+class UnreachableError : public Error
 {
 public:
-	explicit Unreachable(const Address& _address)
+	explicit UnreachableError(const Address& _address)
 		: Error(Failure::StoreUnavailable, "no answer from " + toString(_address))
 	{
 	}
@@ -50,7 +50,7 @@
 	HttpFault fault = HttpFault::Broken;
 	if (!callAndWait(call, answer, fault))
 	{
-		throw Unreachable(_address);
+		throw UnreachableError(_address);
 	}
 	const RpcResult result = rpcResult(answer.body);
 	if (!result.ok)
@@ -70,7 +70,8 @@
 	return readAddress(_member["address"].get<std::string>(), "members", Failure::Internal);
 }
 
-/// Collects a table from all entries; an entry that does not answer is named on standard error.
+/// Collects the rows of a table from all entries. An entry that does not answer is reported on standard error and
+/// left out.
 Json collect(const Address& _control, const std::string& _table)
 {
 	Json rows = Json::array();
@@ -87,7 +88,7 @@
 				rows.push_back(std::move(row));
 			}
 		}
-		catch (const Unreachable& error)
+		catch (const UnreachableError& error)
 		{
 			std::cerr << "beacongatectl: entry " << id << ": " << error.what() << '\n';
 		}
@@ -137,7 +138,7 @@
 		}
 		widths.push_back(width);
 	}
-	const auto print = [&](auto _cellOf)
+	const auto printRow = [&](auto _cellOf)
 	{
 		for (std::size_t ii = 0; ii < columns.size(); ++ii)
 		{
@@ -147,11 +148,11 @@
 		}
 		std::cout << '\n';
 	};
-	print([](const std::string& _column) { return _column; });
+	printRow([](const std::string& _column) { return _column; });
 	for (const Json& row : _rows)
 	{
-		print([&](const std::string& _column)
-			  { return row.contains(_column) ? cell(row[_column]) : std::string(); });
+		printRow([&](const std::string& _column)
+				 { return row.contains(_column) ? cell(row[_column]) : std::string(); });
 	}
 }
 
@@ -183,23 +184,24 @@
 	return text.str();
 }
 
-/// Waits until all entries that answer have a version in force.
+/// Waits until every entry that answers has applied at least the given configuration version.
+/// @returns the exit code of the program.
 int waitInForce(const Address& _control, std::uint64_t _version)
 {
-	const Micros giveUp = monotonicNow() + kChangeWait;
-	while (monotonicNow() < giveUp)
+	const Micros deadline = monotonicNow() + kChangeTimeout;
+	while (monotonicNow() < deadline)
 	{
 		const Json rows = collect(_control, "entries");
-		const auto behind = [&](const Json& _row)
+		const auto isBehind = [&](const Json& _row)
 		{
 			return _row["config"].get<std::uint64_t>() < _version;
 		};
-		if (std::none_of(rows.begin(), rows.end(), behind))
+		if (std::none_of(rows.begin(), rows.end(), isBehind))
 		{
 			std::cout << "in force at " << rows.size() << " entries\n";
 			return kExitOk;
 		}
-		std::this_thread::sleep_for(kPollPause);
+		std::this_thread::sleep_for(kPollInterval);
 	}
 	std::cerr << "beacongatectl: not in force everywhere yet; see 'show entries'\n";
 	return kExitUnreachable;
@@ -209,13 +211,13 @@
 {
 	const std::string id = newChangeId();
 	const std::string number = callRpc(_control, "change", Json{{"statement", _statement}, {"id", id}}.dump());
-	const Micros giveUp = monotonicNow() + kChangeWait;
-	while (monotonicNow() < giveUp)
+	const Micros deadline = monotonicNow() + kChangeTimeout;
+	while (monotonicNow() < deadline)
 	{
 		const Json status = Json::parse(callRpc(_control, "change-status", number));
 		if (status["pending"].get<bool>())
 		{
-			std::this_thread::sleep_for(kPollPause);
+			std::this_thread::sleep_for(kPollInterval);
 			continue;
 		}
 		const std::uint64_t version = status["version"].get<std::uint64_t>();
@@ -300,7 +302,7 @@
 		}
 		return runChange(address, statement, wait);
 	}
-	catch (const Unreachable& error)
+	catch (const UnreachableError& error)
 	{
 		std::cerr << "beacongatectl: " << error.what() << '\n';
 		return kExitUnreachable;
--- a/tools/entry.cpp
+++ b/tools/entry.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongate-entry.
+// Program beacongate-entry: runs one entry until a stop signal, then drains it and shuts it down.
 
 #include "daemon/logging.h"
 #include "daemon/options.h"
--- a/tools/gateway.cpp
+++ b/tools/gateway.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongate-gateway.
+// Program beacongate-gateway: runs one gateway on a VM of the platform.
 
 #include "gateway/gateway.h"
 #include "daemon/logging.h"
@@ -13,7 +13,7 @@
 #include <csignal>
 #include <iostream>
 
-int main(int argc, char** argv)
+int main(int _argc, char** _argv)
 {
 	using namespace beacongate;
 	CLI::App app("Takes callers' requests and sends them to backend servers, on a VM of the platform.",
@@ -25,7 +25,7 @@
 	std::uint16_t metricsPort = 0;
 	app.add_option("--metrics-port", metricsPort, "Port for scrapers on the callers' host; 0 serves no figures [0]")
 		->envname("BEACONGATE_METRICS_PORT");
-	CLI11_PARSE(app, argc, argv);
+	CLI11_PARSE(app, _argc, _argv);
 	std::signal(SIGPIPE, SIG_IGN);
 	try
 	{
@@ -39,7 +39,7 @@
 		{
 			return kExitOk;
 		}
-		initStdoutLogging(argv[0]);
+		initStdoutLogging(_argv[0]);
 		Gateway gateway(settings, load);
 		gateway.init();
 		gateway.run();
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -1,8 +1,9 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongate-load: open-loop load with Poisson arrivals, or closed-loop load with a number of callers.
-// Prints outcomes and latencies as JSON. Bounded in time and number; for addresses on the loopback only.
+// Program beacongate-load: generates open-loop load with Poisson arrivals, or closed-loop load from a fixed number
+// of callers, and prints outcomes and latencies as JSON. The duration and the number of requests are limited, and
+// only loopback addresses are accepted as targets.
 
 #include "daemon/clock.h"
 #include "daemon/options.h"
@@ -28,18 +29,18 @@
 using namespace beacongate;
 namespace acc = boost::accumulators;
 
-constexpr std::size_t kMostRequests = 2'000'000;
-constexpr double kMostSeconds = 600.0;
+constexpr std::size_t kMaxRequests = 2'000'000;
+constexpr double kMaxDurationSeconds = 600.0;
 
-/// What to send, how fast and for how long.
+/// The requests to send, their rate and the duration of the run.
 struct LoadOptions
 {
 	std::vector<Address> targets;
 	std::string path = "/services/log/write";
 	std::string token;
-	std::string model; ///< Empty: plain calls.
+	std::string model; ///< If empty, plain calls are sent.
 	int maxTokens = 32;
-	double rate = 0.0; ///< Arrivals a second; 0: closed loop.
+	double rate = 0.0; ///< Arrivals per second; 0 selects the closed loop.
 	std::size_t callers = 1;
 	double seconds = 5.0;
 	std::uint64_t seed = 1;
@@ -62,14 +63,14 @@
 			{"p95Ms", quantile(0.95)},      {"p99Ms", quantile(0.99)},      {"maxMs", acc::max(_values)}};
 }
 
-/// One run of load on one loop.
+/// Runs one load test on an event loop of its own.
 class Load
 {
 public:
 	explicit Load(LoadOptions _options)
 		: m_options(std::move(_options)), m_random(m_options.seed),
-		  m_whole(acc::tag::tail<acc::right>::cache_size = kMostRequests / 4),
-		  m_first(acc::tag::tail<acc::right>::cache_size = kMostRequests / 4),
+		  m_totalLatency(acc::tag::tail<acc::right>::cache_size = kMaxRequests / 4),
+		  m_firstByteLatency(acc::tag::tail<acc::right>::cache_size = kMaxRequests / 4),
 		  m_client(m_loop,
 				   HttpClientHandlers{[](std::uint64_t, unsigned) {},
 									  [this](std::uint64_t _id, const std::string&) { onData(_id); },
@@ -85,15 +86,15 @@
 	{
 		m_loop.init();
 		m_start = monotonicNow();
-		m_until = m_start + static_cast<Micros>(m_options.seconds * static_cast<double>(kSecond));
+		m_sendUntil = m_start + static_cast<Micros>(m_options.seconds * static_cast<double>(kSecond));
 		m_loop.post([this] { begin(); });
 		m_ended.get_future().wait();
 		m_loop.shutdown();
-		const double span = static_cast<double>(m_last - m_start) / static_cast<double>(kSecond);
+		const double durationSeconds = static_cast<double>(m_lastFinished - m_start) / static_cast<double>(kSecond);
 		return {{"outcomes", m_outcomes},
-				{"answersPerSecond", static_cast<double>(acc::count(m_whole)) / span},
-				{"firstByte", summary(m_first)},
-				{"whole", summary(m_whole)}};
+				{"answersPerSecond", static_cast<double>(acc::count(m_totalLatency)) / durationSeconds},
+				{"firstByte", summary(m_firstByteLatency)},
+				{"whole", summary(m_totalLatency)}};
 	}
 
 private:
@@ -101,7 +102,7 @@
 	{
 		if (0.0 < m_options.rate)
 		{
-			arrive();
+			sendNextArrival();
 			return;
 		}
 		for (std::size_t ii = 0; ii < m_options.callers; ++ii)
@@ -110,26 +111,26 @@
 		}
 	}
 
-	void arrive()
+	void sendNextArrival()
 	{
-		if (monotonicNow() >= m_until || m_next >= kMostRequests)
+		if (monotonicNow() >= m_sendUntil || m_lastId >= kMaxRequests)
 		{
-			m_closed = true;
+			m_sendingEnded = true;
 			endIfDone();
 			return;
 		}
 		send();
-		std::exponential_distribution<double> gap(m_options.rate);
-		m_due += gap(m_random);
-		const Micros due = m_start + static_cast<Micros>(m_due * static_cast<double>(kSecond));
-		m_loop.after(std::max<Micros>(0, due - monotonicNow()), [this] { arrive(); });
+		std::exponential_distribution<double> interarrivalSeconds(m_options.rate);
+		m_nextArrivalSeconds += interarrivalSeconds(m_random);
+		const Micros due = m_start + static_cast<Micros>(m_nextArrivalSeconds * static_cast<double>(kSecond));
+		m_loop.after(std::max<Micros>(0, due - monotonicNow()), [this] { sendNextArrival(); });
 	}
 
 	void send()
 	{
 		HttpCall call;
-		call.id = ++m_next;
-		call.address = m_options.targets[m_next % m_options.targets.size()];
+		call.id = ++m_lastId;
+		call.address = m_options.targets[m_lastId % m_options.targets.size()];
 		call.target = m_options.path;
 		call.timeout = 60 * kSecond;
 		call.headers = {{"Authorization", "Bearer " + m_options.token}, {"Content-Type", "application/json"}};
@@ -139,28 +140,28 @@
 		{
 			call.body = Json{
 				{"model", m_options.model},
-				{"prompt", "request " + std::to_string(m_next)},
+				{"prompt", "request " + std::to_string(m_lastId)},
 				{"max_tokens", m_options.maxTokens},
 				{"stream",
 				 true}}.dump();
 		}
-		m_sent.emplace(call.id, Sent{monotonicNow(), false});
+		m_pending.emplace(call.id, PendingRequest{monotonicNow(), false});
 		m_client.start(std::move(call));
 	}
 
 	void onData(std::uint64_t _id)
 	{
-		Sent& sent = m_sent.at(_id);
-		if (!sent.first)
+		PendingRequest& pending = m_pending.at(_id);
+		if (!pending.firstByteSeen)
 		{
-			sent.first = true;
-			m_first(static_cast<double>(monotonicNow() - sent.at) / kMillisecond);
+			pending.firstByteSeen = true;
+			m_firstByteLatency(static_cast<double>(monotonicNow() - pending.sentAt) / kMillisecond);
 		}
 	}
 
 	void onEnd(std::uint64_t _id, const HttpAnswer& _answer)
 	{
-		m_whole(static_cast<double>(monotonicNow() - m_sent.at(_id).at) / kMillisecond);
+		m_totalLatency(static_cast<double>(monotonicNow() - m_pending.at(_id).sentAt) / kMillisecond);
 		std::string outcome(findHeader(_answer.headers, "Beacongate-Outcome"));
 		finish(_id, std::to_string(_answer.status) + (outcome.empty() ? "" : " " + outcome));
 	}
@@ -172,49 +173,49 @@
 
 	void finish(std::uint64_t _id, const std::string& _outcome)
 	{
-		m_sent.erase(_id);
+		m_pending.erase(_id);
 		m_outcomes[_outcome] += 1;
-		m_last = monotonicNow();
+		m_lastFinished = monotonicNow();
 		const bool closedLoop = 0.0 == m_options.rate;
-		if (closedLoop && m_last < m_until && m_next < kMostRequests)
+		if (closedLoop && m_lastFinished < m_sendUntil && m_lastId < kMaxRequests)
 		{
 			send();
 			return;
 		}
-		m_closed = m_closed || closedLoop;
+		m_sendingEnded = m_sendingEnded || closedLoop;
 		endIfDone();
 	}
 
 	void endIfDone()
 	{
-		if (m_closed && m_sent.empty() && !m_told)
+		if (m_sendingEnded && m_pending.empty() && !m_endReported)
 		{
-			m_told = true;
+			m_endReported = true;
 			m_ended.set_value();
 		}
 	}
 
-	/// A request under way.
-	struct Sent
+	/// A request whose response is not complete yet.
+	struct PendingRequest
 	{
-		Micros at = 0;
-		bool first = false;
+		Micros sentAt = 0;
+		bool firstByteSeen = false;
 	};
 
 	LoadOptions m_options;
 	std::mt19937_64 m_random;
 	IoLoop m_loop;
-	Quantiles m_whole;
-	Quantiles m_first;
+	Quantiles m_totalLatency;
+	Quantiles m_firstByteLatency;
 	std::map<std::string, std::uint64_t> m_outcomes;
-	std::unordered_map<std::uint64_t, Sent> m_sent;
-	std::uint64_t m_next = 0;
-	double m_due = 0.0;
+	std::unordered_map<std::uint64_t, PendingRequest> m_pending;
+	std::uint64_t m_lastId = 0;
+	double m_nextArrivalSeconds = 0.0;
 	Micros m_start = 0;
-	Micros m_until = 0;
-	Micros m_last = 0;
-	bool m_closed = false;
-	bool m_told = false;
+	Micros m_sendUntil = 0;
+	Micros m_lastFinished = 0;
+	bool m_sendingEnded = false;
+	bool m_endReported = false;
 	std::promise<void> m_ended;
 	HttpClient m_client;
 };
@@ -232,7 +233,7 @@
 	app.add_option("--max-tokens", options.maxTokens, "Tokens of an answer")->check(CLI::Range(1, 4096));
 	app.add_option("--rate", options.rate, "Poisson arrivals a second; without it callers wait for their answers");
 	app.add_option("--callers", options.callers, "Callers of a closed loop")->check(CLI::Range(1, 10000));
-	app.add_option("--seconds", options.seconds, "Length of the run")->check(CLI::Range(0.1, kMostSeconds));
+	app.add_option("--seconds", options.seconds, "Length of the run")->check(CLI::Range(0.1, kMaxDurationSeconds));
 	app.add_option("--seed", options.seed, "Seed of the arrivals");
 	CLI11_PARSE(app, _argc, _argv);
 	try
--- a/tools/standin.cpp
+++ b/tools/standin.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongate-standin: small stand-ins of the platform, for the demo and tests by hand.
+// Program beacongate-standin: runs stand-ins for services of the platform, for the demo and for manual tests.
 
 #include "daemon/logging.h"
 #include "daemon/options.h"
