--- a/tools/standin/base.h
+++ b/tools/standin/base.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What all stand-ins share.
+/// Helpers that the stand-ins share.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_BASE_H
 #define BEACONGATE_TOOLS_STANDIN_BASE_H
@@ -13,16 +13,17 @@
 
 namespace beacongate::standin
 {
-/// Bytes of a request that a stand-in takes.
+/// Maximum body size of a request to a stand-in, in bytes.
 inline constexpr std::size_t kBodyBytes = 8u << 20;
 
-/// @returns an answer with JSON.
+/// @returns a 200 response with a JSON body.
 inline HttpAnswer jsonAnswer(std::string _text)
 {
 	return HttpAnswer{200, {{"Content-Type", "application/json"}}, std::move(_text)};
 }
 
-/// @returns handlers that call the stand-in for each request.
+/// @returns server handlers that pass each request to the stand-in, ignore disconnects and answer failures with
+/// their HTTP status.
 /// @param[in] _onRequest Called with the exchange and the request.
 template <typename OnRequest> HttpServerHandlers handlersFor(OnRequest _onRequest)
 {
--- a/tools/standin/cloud.h
+++ b/tools/standin/cloud.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Stand-in of the platform's VM list. Tests only.
+/// Stand-in for the platform's VM list, for tests only.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_CLOUD_H
 #define BEACONGATE_TOOLS_STANDIN_CLOUD_H
@@ -12,15 +12,15 @@
 
 namespace beacongate::standin
 {
-/// A VM list on one loop.
-/// @remarks GET /v1/vms gives {"vms": [{"id", "state": "live" | "leaving", "notice_ms"}]};
-/// POST /standin sets {"vms": the list, "lagMs": how late the list shows it}.
+/// Serves a VM list over HTTP on an event loop.
+/// @remarks GET /v1/vms returns {"vms": [{"id", "state": "live" | "leaving", "notice_ms"}]}.
+/// POST /standin sets {"vms": the list, "lagMs": the delay in milliseconds before the list shows the change}.
 class Cloud
 {
 public:
 	explicit Cloud(IoLoop& _loop);
 
-	/// Binds; to be called before the loop's init().
+	/// Binds the listening socket. Must be called before the loop's init().
 	void init(const Address& _address);
 	std::uint16_t port() const;
 
--- a/tools/standin/engine.cpp
+++ b/tools/standin/engine.cpp
@@ -14,13 +14,13 @@
 {
 namespace
 {
-constexpr std::uint64_t kWords = 997;
+constexpr std::uint64_t kVocabularySize = 997;
 } // namespace
 
 std::string engineToken(std::string_view _prompt, std::uint64_t _offset)
 {
 	const std::uint64_t hash = XXH64(_prompt.data(), _prompt.size(), _offset);
-	return " w" + std::to_string(hash % kWords);
+	return " w" + std::to_string(hash % kVocabularySize);
 }
 
 Engine::Engine(IoLoop& _loop, EngineOptions _options)
@@ -28,7 +28,7 @@
 	  m_server(_loop,
 			   HttpServerHandlers{[this](ExchangeId _id, HttpRequest&& _request)
 								  { onRequest(_id, std::move(_request)); },
-								  [this](ExchangeId _id) { onGone(_id); },
+								  [this](ExchangeId _id) { onDisconnect(_id); },
 								  [](Failure _failure, const std::string& _detail)
 								  {
 									  return HttpAnswer{failureInfo(_failure).status, {}, _detail};
@@ -98,10 +98,10 @@
 	schedule();
 }
 
-void Engine::onGone(ExchangeId _exchange)
+void Engine::onDisconnect(ExchangeId _exchange)
 {
 	const std::size_t before = m_sequences.size();
-	std::erase_if(m_sequences, [&](const Sequence& _s) { return _s.exchange == _exchange; });
+	std::erase_if(m_sequences, [&](const Sequence& _sequence) { return _sequence.exchange == _exchange; });
 	m_cancelled += before - m_sequences.size();
 }
 
@@ -147,9 +147,9 @@
 
 void Engine::admit()
 {
-	const auto admitted = [](const Sequence& _s)
+	const auto admitted = [](const Sequence& _sequence)
 	{
-		return _s.admitted;
+		return _sequence.admitted;
 	};
 	std::size_t running = static_cast<std::size_t>(std::count_if(m_sequences.begin(), m_sequences.end(), admitted));
 	while (running < m_options.batch)
@@ -176,7 +176,8 @@
 	m_scheduled = false;
 	admit();
 	std::uint64_t prefillBudget = m_options.prefillPerStep;
-	std::erase_if(m_sequences, [&](Sequence& _s) { return _s.admitted && advance(_s, prefillBudget); });
+	std::erase_if(m_sequences,
+				  [&](Sequence& _sequence) { return _sequence.admitted && advance(_sequence, prefillBudget); });
 	schedule();
 }
 
--- a/tools/standin/engine.h
+++ b/tools/standin/engine.h
@@ -2,8 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Stand-in of a model engine: continuous batching in steps, a bounded prefix cache,
-/// priorities, resume and cancel. Tests only.
+/// Stand-in for a model engine, for tests only. It has continuous batching in steps, a bounded prefix cache,
+/// priorities, resume and cancel.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_ENGINE_H
 #define BEACONGATE_TOOLS_STANDIN_ENGINE_H
@@ -18,24 +18,25 @@
 
 namespace beacongate::standin
 {
-/// Cost model of an engine.
+/// Cost model of the engine.
 struct EngineOptions
 {
-	Micros step = 5 * kMillisecond;     ///< One step of the batch.
-	std::uint64_t prefillPerStep = 512; ///< Prompt tokens that a step computes.
-	std::size_t batch = 16;             ///< Requests in the batch.
+	Micros step = 5 * kMillisecond;     ///< Duration of one batch step.
+	std::uint64_t prefillPerStep = 512; ///< Prompt tokens prefilled per step.
+	std::size_t batch = 16;             ///< Maximum number of requests in the batch.
 };
 
-/// Token at a place of the answer to a prompt; any engine gives the same.
+/// @returns the token at an offset of the answer to a prompt. All engines return the same token, so that a stream
+/// can be resumed on another engine.
 std::string engineToken(std::string_view _prompt, std::uint64_t _offset);
 
-/// One engine on one loop.
+/// Serves the OpenAI-compatible API of a simulated engine on an event loop.
 class Engine
 {
 public:
 	Engine(IoLoop& _loop, EngineOptions _options);
 
-	/// Binds; to be called before the loop's init().
+	/// Binds the listening socket. Must be called before the loop's init().
 	void init(const Address& _address);
 	std::uint16_t port() const;
 
@@ -53,7 +54,7 @@
 	};
 
 	void onRequest(ExchangeId _exchange, HttpRequest&& _request);
-	void onGone(ExchangeId _exchange);
+	void onDisconnect(ExchangeId _exchange);
 	void accept(ExchangeId _exchange, const HttpRequest& _request);
 	void control(const std::string& _body);
 	HttpAnswer stats() const;
@@ -70,7 +71,7 @@
 	PrefixIndex m_cache;
 	bool m_scheduled = false;
 	bool m_refusing = false;
-	std::uint64_t m_cutAfter = 0; ///< Tokens until all streams are cut, 0 for never.
+	std::uint64_t m_cutAfter = 0; ///< Steps of sequences until one stream is cut; 0 is never.
 	std::uint64_t m_prefilled = 0;
 	std::uint64_t m_cached = 0;
 	std::uint64_t m_decoded = 0;
--- a/tools/standin/platform.cpp
+++ b/tools/standin/platform.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 constexpr Micros kExpiryInterval = 20 * kMillisecond;
-constexpr Micros kPieceInterval = 20 * kMillisecond; ///< Between two pieces of an answer whose rate is limited.
+constexpr Micros kPieceInterval = 20 * kMillisecond; ///< Interval between two pieces of a rate-limited answer.
 constexpr std::size_t kHeaderBytes = 64u << 10;
 constexpr std::size_t kBodyBytes = 8u << 20;
 
@@ -32,15 +32,16 @@
 
 std::string queryField(const std::string& _target, const std::string& _name)
 {
-	const std::string marked = _name + "=";
+	const std::string assignment = _name + "=";
 	std::size_t at = _target.find('?');
 	while (at != std::string::npos)
 	{
 		const std::size_t start = at + 1;
 		at = _target.find('&', start);
-		if (_target.compare(start, marked.size(), marked) == 0)
+		if (_target.compare(start, assignment.size(), assignment) == 0)
 		{
-			return _target.substr(start + marked.size(), at == std::string::npos ? at : at - start - marked.size());
+			return _target.substr(start + assignment.size(),
+								  at == std::string::npos ? at : at - start - assignment.size());
 		}
 	}
 	return "";
@@ -131,7 +132,7 @@
 		[&]
 		{
 			change(_key, &_value, 0);
-			wakeWatches();
+			answerWatches();
 		});
 }
 
@@ -141,7 +142,7 @@
 		[&]
 		{
 			change(_key, nullptr, 0);
-			wakeWatches();
+			answerWatches();
 		});
 }
 
@@ -320,7 +321,7 @@
 	{
 		change(key.get<std::string>(), nullptr, 0);
 	}
-	wakeWatches();
+	answerWatches();
 	return jsonAnswer(200, {{"revision", m_revision}});
 }
 
@@ -366,7 +367,7 @@
 			continue;
 		}
 		Json entry{{"key", event.key}, {"revision", event.revision}};
-		if (event.gone)
+		if (event.removed)
 		{
 			entry["gone"] = true;
 		}
@@ -388,41 +389,41 @@
 		return;
 	}
 	m_watches.push_back({_session, _prefix, _since});
-	wakeWatches();
+	answerWatches();
 	auto timer = std::make_shared<asio::steady_timer>(m_loop.context(), std::chrono::microseconds(_span));
 	timer->async_wait(
 		[this, timer, _session, _prefix, _since](const BoostError& _error)
 		{
-			const auto waits = [&](const Watch& _watch)
+			const auto isSameSession = [&](const Watch& _watch)
 			{
 				return _watch.session == _session;
 			};
-			if (!_error && std::erase_if(m_watches, waits) > 0)
+			if (!_error && std::erase_if(m_watches, isSameSession) > 0)
 			{
 				_session->answer(eventsSince(_prefix, _since));
 			}
 		});
 }
 
-void PlatformStore::wakeWatches()
+void PlatformStore::answerWatches()
 {
-	std::vector<Watch> waiting;
+	std::vector<Watch> unanswered;
 	for (const Watch& watch : m_watches)
 	{
-		const auto news = [&](const Event& _event)
+		const auto matches = [&](const Event& _event)
 		{
 			return _event.revision > watch.since && _event.key.starts_with(watch.prefix);
 		};
-		if (std::any_of(m_events.begin(), m_events.end(), news))
+		if (std::any_of(m_events.begin(), m_events.end(), matches))
 		{
 			watch.session->answer(eventsSince(watch.prefix, watch.since));
 		}
 		else
 		{
-			waiting.push_back(watch);
+			unanswered.push_back(watch);
 		}
 	}
-	m_watches = std::move(waiting);
+	m_watches = std::move(unanswered);
 }
 
 void PlatformStore::scheduleExpiry()
@@ -462,7 +463,7 @@
 			change(key, nullptr, 0);
 		}
 		lease = m_leases.erase(lease);
-		wakeWatches();
+		answerWatches();
 	}
 }
 
--- a/tools/standin/platform.h
+++ b/tools/standin/platform.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Small stand-ins that speak the users' platform's published protocol: its store, its workers, its duty calls.
+/// Stand-ins for the platform's store, its workers and the receiver of duty calls, which speak the platform's
+/// published protocol.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_PLATFORM_H
 #define BEACONGATE_TOOLS_STANDIN_PLATFORM_H
@@ -20,7 +21,7 @@
 
 namespace beacongate::standin
 {
-/// An event loop on a thread of its own.
+/// Runs an event loop on its own thread.
 class LoopThread
 {
 public:
@@ -29,7 +30,7 @@
 	LoopThread(const LoopThread&) = delete;
 	LoopThread& operator=(const LoopThread&) = delete;
 
-	/// Runs a function on the loop's thread and waits for it.
+	/// Runs a function on the loop's thread and waits until it returns.
 	void run(const std::function<void()>& _function);
 
 	boost::asio::io_context& context()
@@ -43,45 +44,45 @@
 	std::thread m_thread;
 };
 
-/// How the store fails.
+/// Fault that the store simulates.
 enum class StoreFault
 {
 	None,
-	Busy,        ///< 503 to everything.
-	Silent,      ///< No answer.
-	LosesWrites, ///< Writes are done and not answered.
+	Busy,        ///< Every call is answered with 503.
+	Silent,      ///< Calls are neither executed nor answered.
+	LosesWrites, ///< Writes and lease calls are executed and not answered.
 };
 
-/// Key-value service with revisions, watches, leases and conditional changes.
+/// Key-value service with revisions, watches, leases and conditional transactions.
 class PlatformStore
 {
 public:
 	explicit PlatformStore(const Address& _address);
 	~PlatformStore();
 
-	/// Writes as an operator or a worker.
+	/// Writes a key as an operator or a worker would.
 	void put(const std::string& _key, const std::string& _value);
 
-	/// Removes as an operator or a worker.
+	/// Removes a key as an operator or a worker would.
 	void remove(const std::string& _key);
 
-	/// @returns a key's value, or an empty text.
+	/// @returns the value of a key, or an empty string if the key is missing.
 	std::string get(const std::string& _key);
 
-	/// @returns keys that begin so.
+	/// @returns the keys that begin with a prefix.
 	std::vector<std::string> keys(const std::string& _prefix);
 
-	/// Changes how the store fails from now on.
+	/// Sets the fault that later calls meet.
 	void setFault(StoreFault _fault);
 
-	/// Limits how fast answers to reads go out, as a narrow link does.
-	/// @param[in] bytesPerSecond Of each answer; 0 is no limit.
+	/// Limits the rate of each answer to a range read, to simulate a slow link.
+	/// @param[in] _bytesPerSecond Rate of each answer in bytes per second; 0 is no limit.
 	void setReadRate(std::size_t _bytesPerSecond);
 
-	/// Forgets the history: watches from before get 410.
+	/// Drops the event history and closes the open watches. Watches from an earlier revision are answered with 410.
 	void forgetHistory();
 
-	/// @returns calls that came.
+	/// @returns the number of calls received.
 	unsigned calls() const
 	{
 		return m_calls;
@@ -100,7 +101,7 @@
 		std::string key;
 		std::string value;
 		std::uint64_t revision = 0;
-		bool gone = false;
+		bool removed = false;
 	};
 
 	struct Watch
@@ -120,7 +121,7 @@
 	void watch(const ServerSessionPtr& _session, const std::string& _prefix, std::uint64_t _since, Micros _span);
 	HttpAnswer eventsSince(const std::string& _prefix, std::uint64_t _since) const;
 	void change(const std::string& _key, const std::string* _value, std::uint64_t _lease);
-	void wakeWatches();
+	void answerWatches();
 	void expireLeases();
 	void scheduleExpiry();
 
@@ -129,33 +130,33 @@
 	std::unique_ptr<ServerListener> m_listener;
 	boost::asio::steady_timer m_timer;
 	std::map<std::string, Item> m_items;
-	std::map<std::uint64_t, std::pair<Micros, Micros>> m_leases; ///< End and span.
+	std::map<std::uint64_t, std::pair<Micros, Micros>> m_leases; ///< Expiry time and duration by lease.
 	std::vector<Event> m_events;
 	std::vector<Watch> m_watches;
 	std::uint64_t m_revision = 0;
 	std::uint64_t m_historyStart = 0;
 	std::uint64_t m_nextLease = 1;
 	StoreFault m_fault = StoreFault::None;
-	std::size_t m_readRate = 0; ///< Bytes a second of each answer to a read; 0 is no limit.
+	std::size_t m_readRate = 0; ///< Rate of each answer to a range read in bytes per second; 0 is no limit.
 	std::atomic<unsigned> m_calls = 0;
 };
 
-/// What a worker does with a request.
+/// Fault that a worker simulates.
 enum class WorkerFault
 {
 	None,
-	Rejects,     ///< 503 that says that it did not run.
-	RejectsSome, ///< The same for every third request.
-	Fails,       ///< Runs and answers 500.
-	Resets,      ///< Runs and resets the connection.
-	Hangs,       ///< Runs and says nothing.
-	WrongId,     ///< Answers another request.
-	CutsStream,  ///< Ends the connection inside an event.
-	Unframed,    ///< An answer without a length, reset halfway.
-	Misdirected, ///< Says that it is another worker.
+	Rejects,     ///< Answers 503 and marks the request as not executed.
+	RejectsSome, ///< Rejects every third request in this way.
+	Fails,       ///< Runs the request and answers 500.
+	Resets,      ///< Runs the request and resets the connection.
+	Hangs,       ///< Runs the request and does not answer.
+	WrongId,     ///< Answers with the id of another request.
+	CutsStream,  ///< Closes the connection in the middle of an event.
+	Unframed,    ///< Sends an answer without a length and resets the connection.
+	Misdirected, ///< Answers 421, as if the request was meant for another worker.
 };
 
-/// A request as a worker got it.
+/// A request that a worker ran, as received.
 struct WorkerRun
 {
 	std::string id;
@@ -164,52 +165,52 @@
 	std::string body;
 	HttpHeaders headers;
 	Micros began = 0;
-	bool ended = false; ///< Its caller closed the connection before the answer was whole.
+	bool ended = false; ///< The connection ended before the answer was complete.
 };
 
-/// A request that came, be it that it was turned away, and what its answer said of the worker.
+/// A request that a worker received, run or rejected, and the backoff that its answer asked for.
 struct WorkerArrival
 {
 	std::string id;
 	Micros at = 0;
-	Micros backoffAsked = 0; ///< For how long nothing more was asked for, 0 where nothing was said of it.
+	Micros backoffAsked = 0; ///< Retry-After value of a rejection; 0 if there was none.
 };
 
-/// A worker of plain calls and of event streams.
+/// A worker that serves plain calls and event streams.
 class PlatformWorker
 {
 public:
-	/// Events of a stream.
+	/// Number of events in a stream.
 	static constexpr unsigned kEvents = 8;
-	/// Pause between two events.
+	/// Interval between two events of a stream.
 	static constexpr Micros kEventPause = 20 * kMillisecond;
 
-	/// @returns the body of a whole answer to a call.
+	/// @returns the complete body of the answer to a call.
 	static std::string wholeCall(const std::string& _requestId);
 
-	/// @returns the events of a whole stream.
+	/// @returns all events of a complete stream.
 	static std::string wholeStream(const std::string& _requestId);
 
 	PlatformWorker(std::string _id, const Address& _address);
 	~PlatformWorker();
 
-	/// Changes what it does with requests from now on.
+	/// Sets the fault that later requests meet.
 	void setFault(WorkerFault _fault);
 
-	/// Changes what it adds to each answer that turns a request away.
-	/// @param[in] _retryAfter The header's value; empty for none.
+	/// Sets the Retry-After header of rejections.
+	/// @param[in] _retryAfter Value of the header; if empty, the header is left out.
 	void setRetryAfter(const std::string& _retryAfter);
 
-	/// Says in all answers from now on whether it takes no new work any more.
+	/// Sets whether later answers say that the worker is draining.
 	void setLeaving(bool _leaving);
 
-	/// @returns requests that came and were meant for it.
+	/// @returns the requests received that were addressed to this worker.
 	std::vector<WorkerArrival> arrivals();
 
-	/// @returns requests that it ran.
+	/// @returns the requests that the worker ran.
 	std::vector<WorkerRun> runs();
 
-	/// @returns requests that it ran, by the id that their caller gave.
+	/// @returns how often the worker ran the request with the given id.
 	unsigned runsOf(const std::string& _id);
 
 private:
@@ -219,7 +220,7 @@
 	void accept();
 	void onBytes(const ConnectionPtr& _connection, std::string_view _bytes);
 	void onRequest(const ConnectionPtr& _connection);
-	bool turnsAwayNext();
+	bool rejectsNext();
 	void stream(const ConnectionPtr& _connection, unsigned _next);
 	static std::string formatEvent(const std::string& _requestId, unsigned _number);
 	std::string head(const ConnectionPtr& _connection, unsigned _status, const std::string& _more);
@@ -230,13 +231,13 @@
 	WorkerFault m_fault = WorkerFault::None;
 	std::string m_retryAfter;
 	bool m_leaving = false;
-	unsigned m_arrived = 0; ///< Requests since its fault was set.
+	unsigned m_arrived = 0; ///< Requests that RejectsSome has counted since the fault was set.
 	std::mutex m_mutex;
 	std::vector<WorkerRun> m_runs;
 	std::vector<WorkerArrival> m_arrivals;
 };
 
-/// A call that only the holder of the duties may make.
+/// A call that only the current holder of a duty may make, as received.
 struct DutyCall
 {
 	std::string target;
@@ -245,14 +246,14 @@
 	std::string body;
 };
 
-/// Takes usage reports and orders.
+/// Receives duty calls such as usage reports and records them.
 class PlatformDuties
 {
 public:
 	explicit PlatformDuties(const Address& _address);
 	~PlatformDuties();
 
-	/// @returns the calls so far.
+	/// @returns the calls received so far.
 	std::vector<DutyCall> calls();
 
 private:
--- a/tools/standin/platformdemo.cpp
+++ b/tools/standin/platformdemo.cpp
@@ -13,18 +13,18 @@
 constexpr unsigned kWorkers = 2;
 constexpr unsigned kSlots = 8;
 
-Address neighbour(const Address& _address, unsigned _offset)
+Address withPortOffset(const Address& _address, unsigned _offset)
 {
 	return {_address.host, static_cast<std::uint16_t>(_address.port + _offset)};
 }
 } // namespace
 
-PlatformDemo::PlatformDemo(const Address& _address) : m_store(_address), m_duties(neighbour(_address, 1))
+PlatformDemo::PlatformDemo(const Address& _address) : m_store(_address), m_duties(withPortOffset(_address, 1))
 {
 	for (unsigned number = 0; number < kWorkers; ++number)
 	{
 		const std::string id = "engine" + std::to_string(number + 1);
-		const Address address = neighbour(_address, 2 + number);
+		const Address address = withPortOffset(_address, 2 + number);
 		m_workers.push_back(std::make_unique<PlatformWorker>(id, address));
 		m_store.put(platform::kServersPrefix + id, formatRecord(address, kSlots, "ready"));
 	}
--- a/tools/standin/platformdemo.h
+++ b/tools/standin/platformdemo.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A whole small platform for the demo: store, duty calls and two backend servers, on neighbouring ports.
+/// A small platform for the demo: a store, a receiver of duty calls and two backend servers on consecutive ports.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_PLATFORMDEMO_H
 #define BEACONGATE_TOOLS_STANDIN_PLATFORMDEMO_H
@@ -13,9 +13,9 @@
 
 namespace beacongate::standin
 {
-/// The store listens at the given port, the duty calls at the next one, the backend servers at those after it. The
-/// configuration has a call that may not be repeated (/reserve/) and a stream (/stream/), for host pantry.example
-/// and key pantry-key.
+/// Runs the platform of the demo. The store listens at the given port, the receiver of duty calls at the next port
+/// and the backend servers at the ports after it. The configuration has a route whose calls must not be repeated
+/// (/reserve/) and a streaming route (/stream/), for the host pantry.example and the API key pantry-key.
 class PlatformDemo
 {
 public:
--- a/tools/standin/platformsite.cpp
+++ b/tools/standin/platformsite.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-constexpr unsigned kMostConnections = 200;
+constexpr unsigned kMaxConnections = 200;
 
 Json formatRoute(const SiteRoute& _route, const SiteConfig& _config)
 {
@@ -57,7 +57,7 @@
 	}
 	const Json document{{"version", _config.version},
 						{"routes", routes},
-						{"services", {{{"name", kSiteService}, {"maxConnections", kMostConnections}}}},
+						{"services", {{{"name", kSiteService}, {"maxConnections", kMaxConnections}}}},
 						{"limits",
 						 {{"headerTimeoutMs", _config.headerTimeout / kMillisecond},
 						  {"idleTimeoutMs", _config.idleTimeout / kMillisecond},
--- a/tools/standin/platformsite.h
+++ b/tools/standin/platformsite.h
@@ -2,7 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The documents of a small deployment in the platform's formats: settings of gateways, records, configurations.
+/// Formats the documents of a small test deployment as the platform does: gateway settings, backend server records
+/// and configurations.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_PLATFORMSITE_H
 #define BEACONGATE_TOOLS_STANDIN_PLATFORMSITE_H
@@ -14,7 +15,7 @@
 
 namespace beacongate::standin
 {
-/// The one service of such a deployment.
+/// Name of the deployment's only service.
 inline constexpr const char* kSiteService = "s";
 
 /// A route to the service.
@@ -27,24 +28,24 @@
 	bool anonymous = false;
 };
 
-/// A team with a limit.
+/// A team that can have a rate limit.
 struct SiteTeam
 {
 	std::string name;
 	std::string key;
-	double ratePerSecond = 0.0; ///< 0 is no limit.
+	double ratePerSecond = 0.0; ///< Refill rate of the limit; 0 is no limit.
 	double burst = 0.0;
-	bool countsTokens = false; ///< Its limit counts tokens, not requests.
+	bool countsTokens = false; ///< The limit counts generated tokens instead of requests.
 };
 
-/// A configuration with one service, one team without a limit, and others.
+/// A configuration with one service, one team without a rate limit, and further teams.
 struct SiteConfig
 {
 	std::uint64_t version = 1;
 	std::string host;
 	std::vector<SiteRoute> routes;
-	std::vector<std::string> keys; ///< Of the team without a limit.
-	std::vector<SiteTeam> teams;   ///< The others.
+	std::vector<std::string> keys; ///< API keys of the team without a rate limit.
+	std::vector<SiteTeam> teams;   ///< Further teams.
 	Micros timeout = 2 * kSecond;
 	Micros targetLatency = 400 * kMillisecond;
 	Micros headerTimeout = 300 * kMillisecond;
@@ -52,18 +53,19 @@
 	std::size_t bodyBytes = 1000;
 };
 
-/// @returns the configuration's document.
+/// @returns the configuration as a JSON document.
 std::string formatConfig(const SiteConfig& _config);
 
-/// Start of a backend server that did not start again, in Unix milliseconds.
+/// Start time of a backend server that has not restarted, in Unix milliseconds.
 inline constexpr std::uint64_t kFirstBorn = 1'700'000'000'000;
 
-/// @returns a backend server's record.
-/// @param[in] _state As the platform names it: ready or draining.
+/// @returns a backend server's record as a JSON document.
+/// @param[in] _state State in the platform's terms: ready or draining.
+/// @param[in] _born Start time of the backend server, in Unix milliseconds.
 std::string formatRecord(const Address& _address, unsigned _slots, const std::string& _state,
 						 std::uint64_t _born = kFirstBorn);
 
-/// Where a gateway runs.
+/// Values of a gateway's settings file.
 struct SiteGateway
 {
 	std::string name;
@@ -79,10 +81,10 @@
 	Micros grace = 8 * kSecond;
 	Micros revocation = 5 * kSecond;
 	Micros usageWindow = kSecond;
-	bool firstStart = false; ///< The whole deployment starts for the first time.
+	bool firstStart = false; ///< The deployment starts for the first time.
 };
 
-/// @returns a gateway's settings file.
+/// @returns the settings file as a JSON document.
 std::string formatSettings(const SiteGateway& _gateway);
 
 } // namespace beacongate::standin
--- a/tools/standin/platformworker.cpp
+++ b/tools/standin/platformworker.cpp
@@ -32,7 +32,7 @@
 	std::string body;
 	std::size_t run = 0;
 	std::string requestId;
-	bool asked = false;
+	bool requestReceived = false;
 	bool ended = false;
 };
 
@@ -123,7 +123,7 @@
 			handlers.onEnd = [this, connection](ConnectionEnd)
 			{
 				const std::lock_guard<std::mutex> guard(m_mutex);
-				if (connection->asked && !connection->ended)
+				if (connection->requestReceived && !connection->ended)
 				{
 					m_runs[connection->run].ended = true;
 				}
@@ -139,7 +139,7 @@
 	_connection->input.append(_bytes);
 	const std::size_t consumed = _connection->parser->consume(_connection->input, _connection->body);
 	_connection->input.erase(0, consumed);
-	if (_connection->parser->done() && !_connection->asked)
+	if (_connection->parser->done() && !_connection->requestReceived)
 	{
 		onRequest(_connection);
 	}
@@ -153,10 +153,11 @@
 		   (m_leaving ? platform::kLeaving + std::string(": 1\r\n") : "") + _more + "\r\n";
 }
 
-bool PlatformWorker::turnsAwayNext()
+bool PlatformWorker::rejectsNext()
 {
-	constexpr unsigned kOneIn = 3;
-	return m_fault == WorkerFault::Rejects || (m_fault == WorkerFault::RejectsSome && m_arrived++ % kOneIn == 0);
+	constexpr unsigned kRejectionPeriod = 3;
+	return m_fault == WorkerFault::Rejects ||
+		   (m_fault == WorkerFault::RejectsSome && m_arrived++ % kRejectionPeriod == 0);
 }
 
 void PlatformWorker::onRequest(const ConnectionPtr& _connection)
@@ -165,19 +166,19 @@
 	_connection->requestId = std::string(findHeader(request.headers, platform::kRequestId));
 	const bool misdirected =
 		m_fault == WorkerFault::Misdirected || findHeader(request.headers, platform::kTarget) != m_id;
-	const bool turnsAway = !misdirected && turnsAwayNext();
+	const bool rejects = !misdirected && rejectsNext();
 	if (!misdirected)
 	{
-		const Micros asked = turnsAway ? parseRetryAfter(m_retryAfter).value_or(0) : 0;
+		const Micros backoff = rejects ? parseRetryAfter(m_retryAfter).value_or(0) : 0;
 		const std::lock_guard<std::mutex> guard(m_mutex);
-		m_arrivals.push_back({_connection->requestId, monotonicNow(), asked});
+		m_arrivals.push_back({_connection->requestId, monotonicNow(), backoff});
 	}
-	if (misdirected || turnsAway)
+	if (misdirected || rejects)
 	{
 		_connection->ended = true;
 		const unsigned status = misdirected ? 421 : 503;
 		std::string more = std::string(platform::kNotExecuted) + ": 1\r\nContent-Length: 0\r\n";
-		if (turnsAway && !m_retryAfter.empty())
+		if (rejects && !m_retryAfter.empty())
 		{
 			more += std::string(platform::kRetryAfter) + ": " + m_retryAfter + "\r\n";
 		}
@@ -186,7 +187,7 @@
 	}
 	{
 		const std::lock_guard<std::mutex> guard(m_mutex);
-		_connection->asked = true;
+		_connection->requestReceived = true;
 		_connection->run = m_runs.size();
 		m_runs.push_back({_connection->requestId, request.method, request.target, _connection->body,
 						  request.headers, monotonicNow()});
--- a/tools/standin/service.h
+++ b/tools/standin/service.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Stand-in of a plain service that counts how often each call ran. Tests only.
+/// Stand-in for a plain service that counts the executions of each call, for tests only.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_SERVICE_H
 #define BEACONGATE_TOOLS_STANDIN_SERVICE_H
@@ -14,16 +14,16 @@
 
 namespace beacongate::standin
 {
-/// One service on one loop.
-/// @remarks GET /executions gives the counts by Idempotency-Key; POST /standin sets
-/// {"delayMs": span before an answer, "cut": whether calls run and then lose their answer,
-/// "refuse": whether calls are not taken}.
+/// Serves plain calls over HTTP on an event loop.
+/// @remarks GET /executions returns the execution counts by Idempotency-Key. POST /standin sets
+/// {"delayMs": delay before an answer in milliseconds, "cut": whether the connection is closed after the call has
+/// run, without an answer, "refuse": whether calls are refused with 503 before they run}.
 class Service
 {
 public:
 	explicit Service(IoLoop& _loop);
 
-	/// Binds; to be called before the loop's init().
+	/// Binds the listening socket. Must be called before the loop's init().
 	void init(const Address& _address);
 	std::uint16_t port() const;
 
--- a/tools/standin/store.cpp
+++ b/tools/standin/store.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-std::int64_t number(const Json& _object, const char* _name)
+std::int64_t integerField(const Json& _object, const char* _name)
 {
 	if (!_object.contains(_name))
 	{
@@ -24,7 +24,7 @@
 	return value.is_string() ? std::stoll(value.get<std::string>()) : value.get<std::int64_t>();
 }
 
-std::string keyOf(const Json& _object)
+std::string decodeKey(const Json& _object)
 {
 	return fromBase64(_object.at("key").get<std::string>());
 }
@@ -50,8 +50,8 @@
 
 void Store::onRequest(ExchangeId _exchange, HttpRequest&& _request)
 {
-	const bool own = "/standin" == _request.target;
-	if (StoreMode::Down == m_mode && !own)
+	const bool isControl = "/standin" == _request.target;
+	if (StoreMode::Down == m_mode && !isControl)
 	{
 		m_server.cut(_exchange);
 		return;
@@ -62,19 +62,19 @@
 	{
 		const Json body = parseJson(_request.body, Failure::MalformedRequest);
 		expire();
-		answer.body = (own ? control(body) : call(_request.target, body)).dump();
+		answer.body = (isControl ? control(body) : call(_request.target, body)).dump();
 	}
 	catch (const std::exception& error)
 	{
 		answer.status = 400;
 		answer.body = Json{{"error", error.what()}, {"code", 3}}.dump();
 	}
-	if (StoreMode::Lose == m_mode && !own)
+	if (StoreMode::Lose == m_mode && !isControl)
 	{
 		m_server.cut(_exchange);
 		return;
 	}
-	if (0 == m_delay || own)
+	if (0 == m_delay || isControl)
 	{
 		m_server.send(_exchange, std::move(answer));
 		return;
@@ -108,7 +108,7 @@
 Json Store::range(const Json& _body) const
 {
 	Json answer{{"header", {{"revision", std::to_string(m_revision)}}}};
-	const auto it = m_values.find(keyOf(_body));
+	const auto it = m_values.find(decodeKey(_body));
 	if (m_values.end() != it)
 	{
 		const Value& value = it->second;
@@ -123,20 +123,21 @@
 
 Json Store::txn(const Json& _body)
 {
-	bool met = true;
+	bool conditionsHold = true;
 	for (const Json& compare : _body.at("compare"))
 	{
-		const auto it = m_values.find(keyOf(compare));
+		const auto it = m_values.find(decodeKey(compare));
 		const std::int64_t revision = m_values.end() == it ? 0 : it->second.modRevision;
-		met = met && revision == number(compare, "mod_revision");
+		conditionsHold = conditionsHold && revision == integerField(compare, "mod_revision");
 	}
 	Json responses = Json::array();
-	for (const Json& op : _body.at(met ? "success" : "failure"))
+	for (const Json& op : _body.at(conditionsHold ? "success" : "failure"))
 	{
 		if (op.contains("request_put"))
 		{
 			const Json& request = op["request_put"];
-			put(keyOf(request), fromBase64(request.at("value").get<std::string>()), number(request, "lease"));
+			put(decodeKey(request), fromBase64(request.at("value").get<std::string>()),
+				integerField(request, "lease"));
 			responses.push_back({{"response_put", Json::object()}});
 		}
 		else
@@ -145,13 +146,13 @@
 		}
 	}
 	return {{"header", {{"revision", std::to_string(m_revision)}}},
-			{"succeeded", met},
+			{"succeeded", conditionsHold},
 			{"responses", std::move(responses)}};
 }
 
 void Store::put(const std::string& _key, const std::string& _bytes, std::int64_t _lease)
 {
-	if (0 != _lease && !m_leases.contains(_lease))
+	if (0 != _lease && !m_leaseExpiries.contains(_lease))
 	{
 		throw Error(Failure::MalformedRequest, "requested lease not found");
 	}
@@ -166,19 +167,19 @@
 Json Store::grant(const Json& _body)
 {
 	const std::int64_t lease = m_nextLease++;
-	m_spans[lease] = number(_body, "TTL") * kSecond;
-	m_leases[lease] = monotonicNow() + m_spans[lease];
-	return {{"ID", std::to_string(lease)}, {"TTL", std::to_string(number(_body, "TTL"))}};
+	m_leaseDurations[lease] = integerField(_body, "TTL") * kSecond;
+	m_leaseExpiries[lease] = monotonicNow() + m_leaseDurations[lease];
+	return {{"ID", std::to_string(lease)}, {"TTL", std::to_string(integerField(_body, "TTL"))}};
 }
 
 Json Store::keepAlive(const Json& _body)
 {
-	const std::int64_t lease = number(_body, "ID");
+	const std::int64_t lease = integerField(_body, "ID");
 	Json result{{"ID", std::to_string(lease)}};
-	if (m_leases.contains(lease))
+	if (m_leaseExpiries.contains(lease))
 	{
-		m_leases[lease] = monotonicNow() + m_spans[lease];
-		result["TTL"] = std::to_string(m_spans[lease] / kSecond);
+		m_leaseExpiries[lease] = monotonicNow() + m_leaseDurations[lease];
+		result["TTL"] = std::to_string(m_leaseDurations[lease] / kSecond);
 	}
 	return {{"result", result}};
 }
@@ -202,7 +203,7 @@
 void Store::expire()
 {
 	const Micros now = monotonicNow();
-	for (auto it = m_leases.begin(); m_leases.end() != it;)
+	for (auto it = m_leaseExpiries.begin(); m_leaseExpiries.end() != it;)
 	{
 		if (it->second > now)
 		{
@@ -211,7 +212,7 @@
 		}
 		const std::int64_t lease = it->first;
 		std::erase_if(m_values, [&](const auto& _item) { return _item.second.lease == lease; });
-		it = m_leases.erase(it);
+		it = m_leaseExpiries.erase(it);
 	}
 }
 
--- a/tools/standin/store.h
+++ b/tools/standin/store.h
@@ -2,8 +2,8 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Stand-in of the platform's key-value service: the etcd v3 JSON mapping with swaps and leases.
-/// Tests only; nothing is kept on disk.
+/// Stand-in for the platform's key-value service, for tests only. It speaks the etcd v3 JSON mapping with
+/// compare-and-swap transactions and leases, and keeps all data in memory.
 
 #ifndef BEACONGATE_TOOLS_STANDIN_STORE_H
 #define BEACONGATE_TOOLS_STANDIN_STORE_H
@@ -16,23 +16,23 @@
 
 namespace beacongate::standin
 {
-/// How the store treats its callers.
+/// How the store answers calls.
 enum class StoreMode
 {
 	Up,
-	Down, ///< Connections are closed without an answer and nothing is done.
-	Lose, ///< Everything is done and no answer is sent.
+	Down, ///< Connections are closed without an answer and calls are not executed.
+	Lose, ///< Calls are executed and connections are closed without an answer.
 };
 
-/// One store on one loop.
-/// @remarks POST /standin sets {"mode": "up" | "down" | "lose", "delayMs": span before an
-/// answer, "put": {key: value}}; its answer counts reads and writes.
+/// Serves the key-value API over HTTP on an event loop.
+/// @remarks POST /standin sets {"mode": "up" | "down" | "lose", "delayMs": delay before an answer in milliseconds,
+/// "put": {key: value}}. Its answer holds the counts of reads and writes and the revision.
 class Store
 {
 public:
 	explicit Store(IoLoop& _loop);
 
-	/// Binds; to be called before the loop's init().
+	/// Binds the listening socket. Must be called before the loop's init().
 	void init(const Address& _address);
 	std::uint16_t port() const;
 
@@ -60,8 +60,8 @@
 	StoreMode m_mode = StoreMode::Up;
 	Micros m_delay = 0;
 	std::map<std::string, Value> m_values;
-	std::map<std::int64_t, Micros> m_leases; ///< Lease to the time it ends.
-	std::map<std::int64_t, Micros> m_spans;
+	std::map<std::int64_t, Micros> m_leaseExpiries; ///< Expiry time by lease.
+	std::map<std::int64_t, Micros> m_leaseDurations;
 	std::int64_t m_revision = 1;
 	std::int64_t m_nextLease = 1;
 	std::uint64_t m_reads = 0;
