--- a/tools/soak/answercheck.h
+++ b/tools/soak/answercheck.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Whether gateways did what backend servers asked for in their answers. Pure.
+/// Checks that gateways follow the requests in backend servers' answers, without side effects.
 
 #ifndef BEACONGATE_TOOLS_SOAK_ANSWERCHECK_H
 #define BEACONGATE_TOOLS_SOAK_ANSWERCHECK_H
@@ -12,9 +12,8 @@
 namespace beacongate::soak
 {
 /// Adds a finding for each backoff in which too many requests of its gateway arrived, and for each request that
-/// reached a backend server which had said in an answer through the same process that it leaves.
-/// @remarks A gateway that was killed, stopped or stood still in that time is excused; the store's faults excuse
-/// nothing.
+/// reached a backend server after an answer through the same process had announced its departure.
+/// @remarks A gateway that was killed, stopped or paused in that time is exempt; faults of the store exempt none.
 void checkAnswersHeeded(const Observations& _seen, std::vector<Finding>& _findings);
 
 } // namespace beacongate::soak
--- a/tools/soak/caller.h
+++ b/tools/soak/caller.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A caller that sends requests over kept connections and notes what it got.
+/// A caller that sends requests over persistent connections and records the outcomes.
 
 #ifndef BEACONGATE_TOOLS_SOAK_CALLER_H
 #define BEACONGATE_TOOLS_SOAK_CALLER_H
@@ -18,7 +18,7 @@
 class CallerConnection
 {
 public:
-	/// Time for a connection to come up, and for an answer.
+	/// Timeouts for establishing a connection and for receiving an answer.
 	static constexpr Micros kConnectSpan = 1 * kSecond;
 	static constexpr Micros kAnswerSpan = 5 * kSecond;
 
@@ -27,14 +27,14 @@
 	CallerConnection(const CallerConnection&) = delete;
 	CallerConnection& operator=(const CallerConnection&) = delete;
 
-	/// @returns whether a request can be sent.
+	/// @returns true if a request can be sent.
 	bool open() const
 	{
 		return m_socket >= 0;
 	}
 
 	/// Sends a request and reads its answer.
-	/// @param[in,out] _request Id, kind and key are given; the rest is filled in.
+	/// @param[in,out] _request Request with id, kind and key set; the outcome is filled in.
 	void exchange(ObservedRequest& _request);
 
 	/// Closes the connection.
--- a/tools/soak/checker.h
+++ b/tools/soak/checker.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Checks the promises to callers and backend servers against what a soak saw. Pure.
+/// Checks the promises to callers and backend servers against the data of a soak, without side effects.
 
 #ifndef BEACONGATE_TOOLS_SOAK_CHECKER_H
 #define BEACONGATE_TOOLS_SOAK_CHECKER_H
@@ -17,35 +17,35 @@
 /// The promises that a soak checks.
 enum class Promise
 {
-	OwnWholeAnswer,    ///< A success is the whole answer to its own request.
-	AtMostOnce,        ///< What may not be repeated runs once at most.
-	NotRun,            ///< What was told not to have run never runs.
+	OwnWholeAnswer,    ///< A successful answer is complete and belongs to its request.
+	AtMostOnce,        ///< A request that is not repeatable runs at most once.
+	NotRun,            ///< A request that was answered as not run never runs.
 	NoWorkForLeaving,  ///< A leaving backend server receives no new work.
-	PlannedStopCuts,   ///< A planned stop cuts no request off.
-	ConfigInForce,     ///< A new key works everywhere within the bound.
-	ConfigNeverBack,   ///< A key that a process knew to be removed is not taken by it again.
-	RevocationInForce, ///< A removed key runs nothing beyond the bound, whatever fails.
-	OneReportAWindow,  ///< Two usage reports for one window never differ.
-	OneHolder,         ///< A fencing token has one holder, and never falls.
-	ProcessLives,      ///< No process ends by itself.
-	ServesAgain,       ///< Once nothing is disrupted, requests are served.
-	QuotaKept,         ///< No more of a team runs in any window than its limit and the tolerance allow.
-	BackoffKept,       ///< A backend server that asks a gateway for a backoff gets none of its requests meanwhile.
-	LeavingHeard, ///< One that says in an answer that it leaves gets no new work of the gateway that passed it on.
-	ServedBelowLimit, ///< A team that asks for less than its limit is refused nothing.
+	PlannedStopCuts,   ///< A graceful stop aborts no request.
+	ConfigInForce,     ///< Every gateway accepts a new key within the bound.
+	ConfigNeverBack,   ///< A process that knows of a key's removal does not accept the key again.
+	RevocationInForce, ///< No request with a removed key runs after the bound, under any fault.
+	OneReportAWindow,  ///< All usage reports for one window are equal.
+	OneHolder,         ///< A fencing token has one holder and never decreases.
+	ProcessLives,      ///< No process ends without a signal from the soak.
+	ServesAgain,       ///< Requests are served once all disruptions are over.
+	QuotaKept,         ///< In any window, a team runs no more than its limit and the tolerance allow.
+	BackoffKept,       ///< A gateway sends no requests to a backend server during its backoff.
+	LeavingHeard,      ///< A gateway sends no new work to a backend server whose answer announced its departure.
+	ServedBelowLimit,  ///< A team that asks for less than its limit is not refused.
 };
 
 /// @returns the name used in reports.
 const char* toString(Promise _promise);
 
-/// A promise that was broken.
+/// One violation of a promise.
 struct Finding
 {
 	Promise promise = Promise::OwnWholeAnswer;
 	std::string detail;
 };
 
-/// @returns all promises that were broken, each instance by itself.
+/// @returns all violations, one entry for each instance.
 std::vector<Finding> check(const Observations& _seen);
 
 } // namespace beacongate::soak
--- a/tools/soak/faultproxy.h
+++ b/tools/soak/faultproxy.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A loopback proxy that delays, resets, silences or cuts one way what passes through it.
+/// A loopback proxy that delays data, resets connections, or drops data in one or both directions.
 
 #ifndef BEACONGATE_TOOLS_SOAK_FAULTPROXY_H
 #define BEACONGATE_TOOLS_SOAK_FAULTPROXY_H
@@ -15,17 +15,17 @@
 
 namespace beacongate::soak
 {
-/// What a proxy does with connections.
+/// Faults that a proxy injects into connections.
 enum class LinkFault
 {
 	None,
-	Delays,      ///< Each piece waits for a while.
-	Resets,      ///< Open connections and new ones are reset.
-	Silent,      ///< Nothing passes; connections stay open.
-	CutsAnswers, ///< What is sent passes, what is answered does not.
+	Delays,      ///< Each chunk of data is delayed.
+	Resets,      ///< Open and new connections are reset.
+	Silent,      ///< All data is dropped; connections stay open.
+	CutsAnswers, ///< Data from the caller passes; data from the target is dropped.
 };
 
-/// Passes connections on to one address.
+/// Forwards connections to one address.
 class FaultProxy
 {
 public:
@@ -34,11 +34,11 @@
 	FaultProxy(const FaultProxy&) = delete;
 	FaultProxy& operator=(const FaultProxy&) = delete;
 
-	/// How long a piece waits where nothing else is asked for.
+	/// Default delay of a chunk.
 	static constexpr Micros kDelay = 150 * kMillisecond;
 
-	/// Changes what is done with connections, those that are open included.
-	/// @param[in] _delay For how long LinkFault::Delays holds each piece, each way.
+	/// Sets the fault for new connections and those already open.
+	/// @param[in] _delay Delay of each chunk, in each direction, under LinkFault::Delays.
 	void setFault(LinkFault _fault, Micros _delay = kDelay);
 
 private:
--- a/tools/soak/gatewayprocess.h
+++ b/tools/soak/gatewayprocess.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A gateway as a process of its own, that a soak stops, pauses, kills and starts again by signals.
+/// A gateway in its own process, which a soak starts, and stops, pauses or kills by signals.
 
 #ifndef BEACONGATE_TOOLS_SOAK_GATEWAYPROCESS_H
 #define BEACONGATE_TOOLS_SOAK_GATEWAYPROCESS_H
@@ -16,19 +16,19 @@
 
 namespace beacongate::soak
 {
-/// One VM's gateway.
+/// The gateway of one VM.
 class GatewayProcess
 {
 public:
 	/// @param[in] _program Path of the program.
 	/// @param[in] _settings Path of its settings file.
-	/// @param[in] _log Path that its output is appended to.
+	/// @param[in] _log Path of the file that its output is appended to.
 	GatewayProcess(std::string _program, std::string _settings, std::string _log);
 	~GatewayProcess();
 	GatewayProcess(const GatewayProcess&) = delete;
 	GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-	/// Starts the process; it must not run.
+	/// Starts the process, which must not be running.
 	void start();
 
 	/// Sets the program that the next start() runs.
@@ -40,25 +40,25 @@
 	/// Sends a signal to the process, if it runs.
 	void signal(int _signal) const;
 
-	/// @returns whether the process has ended; its number is free from then on.
+	/// @returns true if the process has ended; its process id may be reused from then on.
 	bool ended();
 
-	/// Ends the process at once and waits for it.
+	/// Kills the process and waits for its end.
 	void kill();
 
-	/// @returns how often the process was started.
+	/// @returns the number of times the process was started.
 	std::uint64_t starts() const
 	{
 		return m_starts;
 	}
 
-	/// @returns whether the process runs.
+	/// @returns true if the process runs.
 	bool running() const
 	{
 		return m_pid != 0;
 	}
 
-	/// @returns how the process ended, as the system tells; 0 for an end in order.
+	/// @returns the wait status of the ended process; 0 for a regular exit.
 	int endStatus() const
 	{
 		return m_endStatus;
--- a/tools/soak/observations.h
+++ b/tools/soak/observations.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a soak sees from outside the gateways: callers' answers, backend servers' runs, the store's
+/// Data that a soak records outside the gateways: callers' answers, backend servers' runs and the store's
 /// acknowledgements.
 
 #ifndef BEACONGATE_TOOLS_SOAK_OBSERVATIONS_H
@@ -17,7 +17,7 @@
 
 namespace beacongate::soak
 {
-/// What may be done with a request.
+/// Whether a request may be retried or resumed.
 enum class RequestKind
 {
 	Safe,
@@ -26,74 +26,74 @@
 	StreamAgain, ///< A stream that may be resumed.
 };
 
-/// @returns whether a request of this kind may run more than once.
+/// @returns true if a request of this kind may run more than once.
 constexpr bool isRepeatable(RequestKind _kind)
 {
 	return _kind == RequestKind::Safe || _kind == RequestKind::StreamAgain;
 }
 
-/// One attempt of a caller.
+/// One request of a caller and its outcome.
 struct ObservedRequest
 {
 	std::string id;
 	RequestKind kind = RequestKind::Safe;
 	std::string key;
 	unsigned gateway = 0;
-	std::uint64_t start = 0; ///< Which start of the gateway's process took it.
-	Micros sent = 0;         ///< When its last byte was handed to the system.
+	std::uint64_t start = 0; ///< Ordinal of the start of the gateway's process that took the request.
+	Micros sent = 0;         ///< When its last byte was written to the socket.
 	Micros ended = 0;
-	unsigned status = 0;      ///< 0 where no head came.
-	bool whole = false;       ///< The answer was complete by its framing.
-	bool right = false;       ///< The answer is the backend server's own, to this request.
-	bool connected = false;   ///< A connection came up.
-	bool gaveUp = false;      ///< The caller ended the connection itself.
-	std::string backend;      ///< Whose answer it is; empty for an answer of the gateway's own.
-	bool saysLeaving = false; ///< The backend server says in its answer that it takes no new work any more.
-	std::string team;         ///< With a limit; empty for the team without one.
-	double tokens = 0.0;      ///< That it is sent with.
+	unsigned status = 0;      ///< 0 if no response head was received.
+	bool whole = false;       ///< The answer was complete according to its framing.
+	bool right = false;       ///< The answer is the one that the backend server generated for this request.
+	bool connected = false;   ///< The connection was established.
+	bool gaveUp = false;      ///< The caller closed the connection before the answer was complete.
+	std::string backend;      ///< Backend server that answered; empty if the gateway itself generated the answer.
+	bool saysLeaving = false; ///< The answer announces that the backend server accepts no new work.
+	std::string team;         ///< Team with a limit; empty for the team without one.
+	double tokens = 0.0;      ///< Tokens that the request declares.
 };
 
-/// What a team was allowed, by the store's acknowledgements.
+/// A team's limit and the time in which it was in force, according to the store's acknowledgements.
 struct TeamLimit
 {
 	std::string team;
 	double ratePerSecond = 0.0;
 	double burst = 0.0;
-	bool countsTokens = false; ///< It counts tokens, not requests.
-	double slack = 0.0;        ///< That may run in a window on top of the tolerance.
+	bool countsTokens = false; ///< The limit counts tokens instead of requests.
+	double slack = 0.0;        ///< Amount that may run in a window in addition to the tolerance.
 	Micros from = 0;
 	Micros until = kNever;
 };
 
-/// A backend server began to run a request.
+/// The start of a request's execution on a backend server.
 struct ObservedRun
 {
 	std::string id;
 	std::string backend;
 	Micros began = 0;
-	std::string team = {}; ///< As the backend server was told.
+	std::string team = {}; ///< Team that the gateway named to the backend server.
 };
 
-/// A request reached a backend server, be it that it was turned away.
+/// The arrival of a request at a backend server, whether it was accepted or rejected.
 struct ObservedArrival
 {
 	std::string id;
 	std::string backend;
 	Micros at = 0;
-	Micros backoffAsked = 0; ///< For how long the answer asked its gateway for nothing more; 0 where it did not.
+	Micros backoffAsked = 0; ///< Backoff that the answer requested of the gateway; 0 if none.
 };
 
-/// Something that was done to a gateway, to all of them, to the store or to a backend server.
+/// A fault or a change that was injected into a gateway, all gateways, the store or a backend server.
 struct Disruption
 {
 	std::string what;
 	Micros from = 0;
 	Micros until = kNever;
-	std::optional<unsigned> gateway; ///< Nothing where it touches all.
-	bool ofBackend = false;          ///< A backend server misbehaves; gateways and store are sound.
+	std::optional<unsigned> gateway; ///< Empty if all gateways are affected.
+	bool ofBackend = false;          ///< Only a backend server is at fault; gateways and store are healthy.
 };
 
-/// A process was asked to stop.
+/// A graceful stop that was requested of a gateway's process.
 struct PlannedStop
 {
 	unsigned gateway = 0;
@@ -102,14 +102,14 @@
 	Micros ended = kNever;
 };
 
-/// The store acknowledged that a backend server takes no new work.
+/// The store's acknowledgement that a backend server accepts no new work.
 struct Departure
 {
 	std::string backend;
 	Micros acknowledged = 0;
 };
 
-/// When a key was in the configuration, by the store's acknowledgements.
+/// The time in which a key was part of the configuration, according to the store's acknowledgements.
 struct KeyLife
 {
 	std::string key;
@@ -117,7 +117,7 @@
 	Micros removed = kNever;
 };
 
-/// A usage report that the platform took.
+/// A usage report that the platform accepted.
 struct UsageReport
 {
 	std::string window;
@@ -126,21 +126,21 @@
 	std::uint64_t fence = 0;
 };
 
-/// The bounds that the gateways were given.
+/// Time limits and tolerances that the gateways have to keep.
 struct Bounds
 {
-	Micros contact = 3 * kSecond;          ///< After a disruption, until time-bound promises hold again.
-	Micros drain = 2 * kSecond;            ///< From a departure until no new work arrives.
-	Micros configApply = 2 * kSecond;      ///< From an acknowledgement until a configuration is in force.
-	Micros revocation = 4 * kSecond;       ///< From an acknowledgement until a removed key runs nothing.
-	Micros underWay = 500 * kMillisecond;  ///< From a backoff's answer until what was under way has arrived.
-	unsigned mostInBackoff = 2;            ///< Requests of a gateway that may arrive from then until its end.
-	Micros takeSpan = 2500 * kMillisecond; ///< After a request to stop, requests still get an answer.
-	Micros quotaWindow = 8 * kSecond;      ///< Over which a team's runs are counted.
-	double quotaTolerance = 0.1;           ///< Of what a limit gives in it, that may run on top.
+	Micros contact = 3 * kSecond;         ///< From the end of a disruption until time-bound promises hold again.
+	Micros drain = 2 * kSecond;           ///< From a departure's acknowledgement until no new work arrives.
+	Micros configApply = 2 * kSecond;     ///< From an acknowledgement until a configuration is in force.
+	Micros revocation = 4 * kSecond;      ///< From an acknowledgement until no request with a removed key runs.
+	Micros underWay = 500 * kMillisecond; ///< From an answer with a backoff until requests in flight have arrived.
+	unsigned mostInBackoff = 2; ///< Requests of one gateway that may arrive from then until the backoff ends.
+	Micros takeSpan = 2500 * kMillisecond; ///< From a stop request until new requests may remain unanswered.
+	Micros quotaWindow = 8 * kSecond;      ///< Window over which a team's runs are counted.
+	double quotaTolerance = 0.1;           ///< Share of the window's limit that may run in addition.
 };
 
-/// All of one soak.
+/// All data that one soak recorded.
 struct Observations
 {
 	Bounds bounds;
@@ -151,11 +151,11 @@
 	std::vector<PlannedStop> stops;
 	std::vector<Departure> departures;
 	std::vector<KeyLife> keys;
-	std::vector<TeamLimit> limits; ///< One after the other for each team.
+	std::vector<TeamLimit> limits; ///< Ordered by time for each team.
 	std::vector<UsageReport> reports;
-	std::size_t replaced = 0;             ///< Gateways that were replaced by another build.
-	std::vector<std::string> unaskedEnds; ///< Processes that ended by themselves.
-	Micros settled = kNever;              ///< From then on nothing was done and everything has to work.
+	std::size_t replaced = 0;             ///< Number of replacements of a gateway by another build.
+	std::vector<std::string> unaskedEnds; ///< Processes that ended without a signal from the soak.
+	Micros settled = kNever;              ///< From then on no fault is injected and every request has to be served.
 };
 
 } // namespace beacongate::soak
--- a/tools/soak/openload.h
+++ b/tools/soak/openload.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Open-loop load of teams with limits: requests arrive at gateways by chance, whatever became of earlier ones.
+/// Open-loop load of teams with limits: requests arrive at random times, independently of earlier outcomes.
 
 #ifndef BEACONGATE_TOOLS_SOAK_OPENLOAD_H
 #define BEACONGATE_TOOLS_SOAK_OPENLOAD_H
@@ -26,31 +26,31 @@
 	std::string name;
 	std::string key;
 	double requestsPerSecond = 0.0;
-	double meanTokens = 0.0; ///< Of a request; 0 for requests that name none.
+	double meanTokens = 0.0; ///< Per request; 0 for requests that declare none.
 };
 
-/// Sends requests of some teams, each on a connection of its own, to gateways drawn by chance.
+/// Sends teams' requests, each on its own connection, to randomly chosen gateways.
 class OpenLoad
 {
 public:
-	/// Requests that wait for an answer at the same time; further arrivals are left out and counted.
+	/// Largest number of concurrent requests; further arrivals are dropped and counted.
 	static constexpr std::size_t kMostOpen = 4000;
 
-	/// @param[in] _gateways Where gateways take requests.
-	/// @param[in] _startOf Which start of a gateway's process is running; called on the loop's thread.
+	/// @param[in] _gateways Addresses at which gateways accept requests.
+	/// @param[in] _startOf Returns the number of a gateway's current process start; called on the loop's thread.
 	OpenLoad(std::vector<Address> _gateways, std::function<std::uint64_t(unsigned)> _startOf, std::uint64_t _seed);
 	~OpenLoad();
 	OpenLoad(const OpenLoad&) = delete;
 	OpenLoad& operator=(const OpenLoad&) = delete;
 
-	/// Sets a team's load from now on.
+	/// Sets or replaces a team's load.
 	void set(const LoadTeam& _team);
 
-	/// Ends the load and gives up what still waits.
+	/// Ends the load and abandons requests in flight.
 	/// @returns all requests.
 	std::vector<ObservedRequest> stop();
 
-	/// @returns arrivals that were left out since too many waited.
+	/// @returns the number of arrivals dropped because kMostOpen requests were in flight.
 	std::size_t leftOut() const
 	{
 		return m_leftOut;
--- a/tools/soak/quotacheck.h
+++ b/tools/soak/quotacheck.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What teams with limits had run and were refused in a soak. Pure.
+/// Computes what teams with limits ran and were refused in a soak, without side effects.
 
 #ifndef BEACONGATE_TOOLS_SOAK_QUOTACHECK_H
 #define BEACONGATE_TOOLS_SOAK_QUOTACHECK_H
@@ -15,25 +15,25 @@
 
 namespace beacongate::soak
 {
-/// What became of one team. Amounts are requests or tokens, as its limit counts.
+/// Usage and refusals of one team. Amounts are requests or tokens, whichever its limit counts.
 struct TeamUse
 {
 	std::string team;
-	double most = 0.0;      ///< That ran in the window in which most of what is tolerated there ran.
-	double tolerated = 0.0; ///< In that window.
-	Micros mostUntil = 0;   ///< End of that window, after the first run of all.
+	double most = 0.0;      ///< Amount run in the window with the largest ratio of run to tolerated amount.
+	double tolerated = 0.0; ///< Amount tolerated in that window.
+	Micros mostUntil = 0;   ///< End of that window, relative to the first run of the soak.
 	std::size_t asked = 0;
 	std::size_t refused = 0;
-	std::size_t askedBelow = 0;   ///< While the team was below its limit.
-	std::size_t refusedBelow = 0; ///< Of these, told that the team is over its limit.
-	/// Of these, the requests that came while no gateway was disturbed, nor had been for the span of contact.
+	std::size_t askedBelow = 0;   ///< Requests sent while the team was below its limit.
+	std::size_t refusedBelow = 0; ///< Number of these that were refused as over the limit.
+	/// Refused requests of these that came while no gateway had been disturbed for at least Bounds::contact.
 	std::vector<std::string> refusedInCalm;
 };
 
-/// @returns the use of each team that has a limit.
-/// @remarks A team is below its limit at a request if all that it asked for in any span of up to 10 s until the
-/// request was decided on fits into 0.8 of what the smallest limit in that span gives. A lower limit counts for
-/// windows that begin once each gateway has been sound, at some time since the change, for as long as a
+/// @returns the usage of each team that has a limit.
+/// @remarks A team is below its limit at a request if the amount that it asked for in every span of up to 10 s that
+/// ends with the decision is at most 0.8 of what the smallest limit in that span allows. A lowered limit applies to
+/// windows that begin after each gateway has, since the change, been undisturbed for as long as applying a
 /// configuration may take.
 std::vector<TeamUse> useOf(const Observations& _seen);
 
--- a/tools/soak/report.h
+++ b/tools/soak/report.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A page with plots of one soak.
+/// Writes an HTML page with plots of one soak.
 
 #ifndef BEACONGATE_TOOLS_SOAK_REPORT_H
 #define BEACONGATE_TOOLS_SOAK_REPORT_H
@@ -14,8 +14,8 @@
 
 namespace beacongate::soak
 {
-/// Writes what was injected when, latency and outcomes over time, and the findings.
-/// @param[in] _path Of an HTML file.
+/// Writes the injected faults, the latencies and outcomes over time, and the findings.
+/// @param[in] _path Path of the HTML file.
 void writeReport(const std::string& _path, std::uint64_t _seed, const Observations& _seen,
 				 const std::vector<Finding>& _findings);
 
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// One seeded soak: gateways as processes, stand-ins of the platform, callers, and faults in random order.
+/// Runs one seeded soak: gateway processes, stand-ins for the platform, callers, and randomly injected faults.
 
 #ifndef BEACONGATE_TOOLS_SOAK_SOAK_H
 #define BEACONGATE_TOOLS_SOAK_SOAK_H
@@ -25,46 +25,46 @@
 
 namespace beacongate::soak
 {
-/// Which faults a soak draws.
+/// Selects the faults that a soak injects.
 enum class SoakProfile
 {
-	Mixed, ///< All kinds, few of each.
-	/// Backend servers leave every second or so, half of them without a word, while gateways meet what a sound VM
-	/// meets: a slow way to the store, short spans without processor time, and now and then a real fault.
+	Mixed, ///< All kinds of faults, few of each.
+	/// Backend servers leave about once a second, half of them unannounced, while gateways meet conditions of a
+	/// healthy VM: a slow link to the store, short spans without processor time, and occasionally a real fault.
 	Departures,
-	/// The same, and large configurations that come over a narrow way.
+	/// As Departures, with large configurations that are read over a link of low bandwidth.
 	NarrowDepartures,
-	/// Teams with limits ask for less and for several times as much by turns, limits change, and many gateways at
-	/// once stand still, are killed or stopped.
+	/// Teams ask alternately for less than their limits and for several times as much, limits change, and many
+	/// gateways at once are paused, killed or stopped.
 	Quotas,
-	/// All limits fall once, far below what most teams ask for, and nothing else happens for 20 s; then the
-	/// troubles of Quotas, but for further changes of limits.
+	/// All limits are lowered once, far below what most teams ask for, and no fault follows for 20 s; then the
+	/// faults of Quotas follow, without further changes of limits.
 	LoweredQuotas,
-	/// Backend servers turn requests away and ask for backoffs, or say in their answers alone that they leave,
-	/// while the store is away and gateways are held up, killed and stopped.
+	/// Backend servers reject requests and ask for backoffs, or announce their departure only in their answers,
+	/// while the store is unreachable and gateways are paused, killed and stopped.
 	Answers,
 };
 
-/// What a soak is made of.
+/// Parameters of a soak.
 struct SoakOptions
 {
 	SoakProfile profile = SoakProfile::Mixed;
 	std::uint64_t seed = 1;
 	unsigned gateways = 3;
 	unsigned callers = 6;
-	Micros span = 20 * kSecond; ///< In which faults are injected.
+	Micros span = 20 * kSecond; ///< Time in which faults are injected.
 	std::string program = {};   ///< Path of beacongate-gateway.
-	/// Path of another build of it, with which all begin; they are replaced one after the other, and half of them
-	/// is taken back. Empty: no upgrade.
+	/// Path of another build of beacongate-gateway that all gateways start with. They are upgraded to `program` one
+	/// after the other, and half of them are rolled back. Empty for no upgrade.
 	std::string oldProgram = {};
-	std::string directory = {}; ///< Where settings and logs go; it exists.
+	std::string directory = {}; ///< Existing directory for settings and logs.
 };
 
-/// Runs once.
+/// A soak; run() may be called once.
 class Soak
 {
 public:
-	/// Most gateways of one soak.
+	/// Largest number of gateways in one soak.
 	static constexpr unsigned kMostGateways = 300;
 
 	explicit Soak(const SoakOptions& _options);
@@ -72,28 +72,28 @@
 	Soak(const Soak&) = delete;
 	Soak& operator=(const Soak&) = delete;
 
-	/// Starts everything, injects faults, lets everything settle, and stops everything.
-	/// @returns what was seen.
+	/// Starts all processes, injects faults, waits until all faults have ended, and stops all processes.
+	/// @returns the recorded data.
 	Observations run();
 
 private:
 	struct Gateway;
 	struct Backend;
 
-	/// Something that is done later.
+	/// An action scheduled for a later time.
 	struct Pending
 	{
 		Micros at = 0;
 		std::function<void()> action;
 	};
 
-	/// An upgrade that goes on.
+	/// The state of a rolling upgrade.
 	struct Upgrade
 	{
-		std::vector<unsigned> order; ///< In which gateways are replaced.
-		std::size_t next = 0;        ///< Place in it; beyond its end they are taken back.
+		std::vector<unsigned> order; ///< Order in which gateways are replaced.
+		std::size_t next = 0;        ///< Index into `order`; past its end, gateways are rolled back.
 		std::size_t replaced = 0;
-		Micros pause = 0; ///< Between two of them.
+		Micros pause = 0; ///< Time between two replacements.
 		Micros until = 0;
 	};
 
@@ -148,8 +148,8 @@
 	Micros drawnSpan(Micros _least, Micros _most);
 
 	SoakOptions m_options;
-	std::string m_net;       ///< The first two numbers of all addresses.
-	unsigned m_firstNet = 0; ///< The third number of the first hosts.
+	std::string m_net;       ///< First two octets of all addresses.
+	unsigned m_firstNet = 0; ///< Third octet of the first hosts.
 	std::mt19937_64 m_random;
 	std::unique_ptr<standin::PlatformStore> m_store;
 	std::unique_ptr<standin::PlatformDuties> m_duties;
@@ -158,14 +158,14 @@
 	std::vector<Pending> m_pending;
 	Upgrade m_upgrade;
 	std::vector<std::thread> m_callers;
-	std::vector<standin::SiteTeam> m_teams; ///< With limits.
+	std::vector<standin::SiteTeam> m_teams; ///< Teams with limits.
 	std::unique_ptr<OpenLoad> m_load;
 	std::atomic<bool> m_calling = false;
-	std::mutex m_mutex; ///< Guards m_seen, against callers.
+	std::mutex m_mutex; ///< Guards m_seen, which callers' threads write as well.
 	Observations m_seen;
 	std::uint64_t m_version = 0;
-	unsigned m_moreRoutes = 0; ///< That make the configuration large.
-	bool m_narrow = false;     ///< Answers of the store come at a low rate.
+	unsigned m_moreRoutes = 0; ///< Additional routes that enlarge the configuration.
+	bool m_narrow = false;     ///< The store's answers are sent at a low bandwidth.
 };
 
 } // namespace beacongate::soak
--- a/tools/soak/soak_p.h
+++ b/tools/soak/soak_p.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// What a soak's parts share: its gateways and backend servers.
+/// Gateways and backend servers of a soak, shared by its source files.
 
 #ifndef BEACONGATE_TOOLS_SOAK_SOAK_P_H
 #define BEACONGATE_TOOLS_SOAK_SOAK_P_H
@@ -11,9 +11,9 @@
 
 namespace beacongate::soak
 {
-/// Backend servers that take work at any time.
+/// Number of backend servers that accept work during the whole soak.
 inline constexpr unsigned kBackends = 3;
-/// Where gateways take requests.
+/// Port at which gateways accept requests.
 inline constexpr std::uint16_t kCallerPort = 19100;
 
 /// A gateway with the link between it and the store.
@@ -22,9 +22,9 @@
 	Address address;
 	std::unique_ptr<FaultProxy> storeLink;
 	std::unique_ptr<GatewayProcess> process;
-	bool asked = false;  ///< Its process was asked to stop.
-	bool paused = false; ///< Its process stands still.
-	bool cut = false;    ///< Something is done to its link to the store.
+	bool asked = false;  ///< A graceful stop of its process was requested.
+	bool paused = false; ///< Its process is paused.
+	bool cut = false;    ///< A fault is injected into its link to the store.
 	std::size_t stop = 0;
 };
 
@@ -36,7 +36,7 @@
 	std::unique_ptr<standin::PlatformWorker> worker;
 	std::unique_ptr<FaultProxy> link;
 	bool leaving = false;
-	bool turnsAway = false; ///< It turns requests away for a while.
+	bool turnsAway = false; ///< The backend server currently rejects requests.
 };
 
 } // namespace beacongate::soak
