--- a/tests/await.h
+++ b/tests/await.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Waits for an event, never for a guessed time.
+/// Waits for a condition instead of a fixed time.
 
 #ifndef BEACONGATE_TESTS_AWAIT_H
 #define BEACONGATE_TESTS_AWAIT_H
@@ -14,8 +14,8 @@
 
 namespace beacongate::test
 {
-/// Runs a check until it holds or the span is over.
-/// @returns whether it held.
+/// Polls a condition until it holds or the span is over.
+/// @returns true if the condition held.
 inline bool await(const std::function<bool()>& _check, Micros _span = 20 * kSecond)
 {
 	const Micros until = monotonicNow() + _span;
--- a/tests/faultproxytest.cpp
+++ b/tests/faultproxytest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The soak's proxy keeps bytes in order while its faults come and go.
+/// The soak's proxy keeps bytes in order when its faults change.
 
 #include "soak/faultproxy.h"
 
@@ -16,7 +16,7 @@
 {
 namespace
 {
-/// A loopback address of this process alone, so that tests that run at the same time do not meet.
+/// @returns a loopback address derived from the process id, so that concurrent tests do not share ports.
 std::string ownHost()
 {
 	const auto pid = static_cast<unsigned>(getpid());
@@ -33,7 +33,7 @@
 }
 } // namespace
 
-TEST(FaultProxy, whatIsDelayedIsNotOvertakenOnceTheDelayEnds)
+TEST(FaultProxy, keepsOrderWhenDelayEnds)
 {
 	constexpr std::uint16_t kTarget = 18301;
 	constexpr std::uint16_t kProxy = 18302;
--- a/tests/soakanswerstest.cpp
+++ b/tests/soakanswerstest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Soaks in which backend servers ask for backoffs, and say in their answers alone that they leave.
+/// Soaks in which backend servers ask for backoffs, and announce their departure only in their answers.
 
 #include "soakrun.h"
 
--- a/tests/soakbacklogtest.cpp
+++ b/tests/soakbacklogtest.cpp
@@ -2,13 +2,14 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A soak in which gateways stand still for seconds, in turns that overlap, and what came meanwhile is asked for at
-/// once.
+/// A soak in which gateways pause for seconds, in overlapping turns, and the requests that arrived meanwhile are
+/// charged at once.
 ///
-/// What was seen, in one of two runs: teams were refused 106 of 1,267 requests while they asked for less than their
-/// limits. In the second in which four of eight gateways went on after 1.9 s to 3.6 s, the team with most of them
-/// was refused 73, and the grantor gave 91 by a bucket of about 100. Open: by reading, a bucket of one second does
-/// not hold what came in three; which of the 106 fell there was not worked out.
+/// Failed in one of two runs: teams were refused 106 of 1,267 requests while they asked for less than their limits.
+/// In the second in which four of eight gateways resume after 1.9 s to 3.6 s, the team with most of the refusals is
+/// refused 73, and the grantor grants 91 from a bucket of about 100. From reading the code, the probable cause is
+/// that a bucket of one second cannot cover the requests of three. It is not known which of the 106 refusals fall
+/// in that second.
 
 #include "soakrun.h"
 
--- a/tests/soakbelowlimittest.cpp
+++ b/tests/soakbelowlimittest.cpp
@@ -2,10 +2,10 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A team that asks for less than its limit is refused nothing, also while many gateways stand still.
+/// A team that asks for less than its limit is not refused, even while many gateways are paused.
 ///
-/// What is left of the incident on quotas: a collector that stood still hears the others late, since they speak to
-/// another one for three seconds, and goes by its equal share until then.
+/// Guards against refusals by a collector that was paused: the others report to another collector for three
+/// seconds, so the resumed one hears from them late and grants only its equal share until then.
 
 #include "soakrun.h"
 
@@ -31,13 +31,13 @@
 	servesBelowLimits(2, 40, 16);
 }
 
-// 62 of 445 of one team and 70 of 1,205 of all.
+// Guards against refusals of 62 of 445 requests of one team and 70 of 1,205 of all teams.
 TEST(SoakBelowLimit, seed101)
 {
 	servesBelowLimits(101, 18, 8);
 }
 
-// 49 of 584 of one team and 77 of 916 of all.
+// Guards against refusals of 49 of 584 requests of one team and 77 of 916 of all teams.
 TEST(SoakBelowLimit, seed102)
 {
 	servesBelowLimits(102, 30, 8);
--- a/tests/soakcheckertest.cpp
+++ b/tests/soakcheckertest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// The soak's checker sees each promise where it is broken, and nothing where it is kept.
+/// The soak's checker reports every broken promise, and nothing if all promises are kept.
 
 #include "soak/checker.h"
 
@@ -16,7 +16,7 @@
 
 namespace
 {
-/// A request that was served by one run.
+/// @returns a request that was served.
 ObservedRequest served(const std::string& _id, RequestKind _kind, Micros _sent)
 {
 	ObservedRequest request;
@@ -33,7 +33,7 @@
 	return request;
 }
 
-/// A soak in which everything went well.
+/// @returns the data of a soak in which all promises are kept.
 Observations sound()
 {
 	Observations seen;
@@ -68,7 +68,7 @@
 	Observations seen = sound();
 	seen.requests[3].right = false;
 	EXPECT_EQ(countOf(seen, Promise::OwnWholeAnswer), 1u);
-	seen.requests[3].whole = false; // It does not look complete.
+	seen.requests[3].whole = false; // An incomplete answer is no success.
 	EXPECT_EQ(countOf(seen, Promise::OwnWholeAnswer), 0u);
 }
 
@@ -115,7 +115,7 @@
 	EXPECT_EQ(countOf(seen, Promise::PlannedStopCuts), 0u);
 	seen.requests[20].whole = false;
 	EXPECT_EQ(countOf(seen, Promise::PlannedStopCuts), 1u);
-	seen.requests[20].start = 2; // Another process took it.
+	seen.requests[20].start = 2; // Another process accepted the request.
 	EXPECT_EQ(countOf(seen, Promise::PlannedStopCuts), 0u);
 }
 
@@ -130,7 +130,7 @@
 	seen.runs.resize(44);
 	seen.settled = kNever;
 	EXPECT_EQ(countOf(seen, Promise::RevocationInForce), 0u);
-	seen.requests[40].status = 401; // Refused, and then taken again.
+	seen.requests[40].status = 401; // The key is refused here, and accepted afterwards.
 	seen.runs.erase(seen.runs.begin() + 40);
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 3u);
 }
@@ -142,16 +142,16 @@
 	seen.requests.resize(44);
 	seen.runs.resize(44);
 	seen.settled = kNever;
-	seen.requests[41].key = "k2"; // It has the version that removed k1, and takes k1 twice after that.
+	seen.requests[41].key = "k2"; // The gateway has the version that removed k1, and accepts k1 twice afterwards.
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 2u);
-	seen.requests[41].start = 2; // Another process.
+	seen.requests[41].start = 2; // Another process accepted the request.
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 0u);
 }
 
 TEST(SoakChecker, aGatewayThatIsBehindMayRefuseAKeyBeforeItTakesIt)
 {
-	// k1 was in force only from 28 s to 30 s; the gateway hears of the version that brought it at 31 s, and then of
-	// the one that removed it. It never goes back.
+	// k1 was in force only from 28 s to 30 s. The gateway receives the version that added it at 31 s, and then the
+	// one that removed it. It never returns to an older version.
 	Observations seen = sound();
 	seen.keys = {{"k0", 0, kNever}, {"k1", 28 * kSecond, 30 * kSecond}};
 	seen.requests.resize(44);
@@ -164,7 +164,7 @@
 	seen.requests[40].status = 401;
 	seen.runs.erase(seen.runs.begin() + 40);
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 0u);
-	seen.requests[42].status = 401; // It knew k1, refuses it, and takes it once more.
+	seen.requests[42].status = 401; // The gateway knew k1, refuses it here, and accepts it once more.
 	seen.runs.erase(seen.runs.begin() + 41);
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 1u);
 }
@@ -173,7 +173,7 @@
 {
 	Observations seen = sound();
 	seen.keys = {{"k1", 0, 30 * kSecond}};
-	seen.disruptions = {{"store", 0, kNever, std::nullopt, false}}; // No excuse.
+	seen.disruptions = {{"store", 0, kNever, std::nullopt, false}}; // Faults of the store exempt no gateway.
 	EXPECT_GT(countOf(seen, Promise::RevocationInForce), 50u);
 }
 
@@ -191,7 +191,8 @@
 
 namespace
 {
-/// A soak in which a team with a limit of 10 requests a second, and as many on top, asks ten times a second.
+/// @returns the data of a soak in which a team with a limit of 10 requests a second and a burst of 10 runs a number
+/// of requests each second.
 Observations limited(unsigned _perSecond)
 {
 	Observations seen = sound();
@@ -249,7 +250,7 @@
 	Observations seen = limited(10);
 	seen.limits[0].until = 30 * kSecond;
 	seen.limits.push_back({"small", 5.0, 5.0, false, 0.0, 30 * kSecond, kNever});
-	// One gateway or another is disturbed all the time, but none for longer than a second.
+	// Some gateway is disturbed at all times, but none for longer than a second.
 	for (unsigned number = 0; number < 10; ++number)
 	{
 		const Micros from = (31 + 3 * static_cast<Micros>(number)) * kSecond;
@@ -304,7 +305,7 @@
 					 {"r2", "w1", 20400 * kMillisecond, 0},
 					 {"r3", "w1", 21 * kSecond, 0},
 					 {"r4", "w1", 22 * kSecond, 0}};
-	EXPECT_EQ(countOf(seen, Promise::BackoffKept), 0u); // One of the three was under way.
+	EXPECT_EQ(countOf(seen, Promise::BackoffKept), 0u); // One of the three was in flight.
 	seen.arrivals.push_back({"r5", "w1", 22900 * kMillisecond, 0});
 	EXPECT_EQ(countOf(seen, Promise::BackoffKept), 1u);
 	seen.disruptions = {{"store", 20 * kSecond, 25 * kSecond, std::nullopt}};
@@ -312,7 +313,7 @@
 	seen.disruptions = {{"pause", 21 * kSecond, 22 * kSecond, 0}};
 	EXPECT_EQ(countOf(seen, Promise::BackoffKept), 0u);
 	seen.disruptions.clear();
-	seen.requests[5].gateway = 1; // Each gateway is asked by itself.
+	seen.requests[5].gateway = 1; // A backoff applies to one gateway only.
 	EXPECT_EQ(countOf(seen, Promise::BackoffKept), 0u);
 }
 
@@ -327,7 +328,7 @@
 	EXPECT_EQ(countOf(seen, Promise::LeavingHeard), 1u);
 	seen.disruptions = {{"store", heard, 60 * kSecond, std::nullopt}};
 	EXPECT_EQ(countOf(seen, Promise::LeavingHeard), 1u);
-	seen.requests[20].start = 2; // Another process knows nothing of it.
+	seen.requests[20].start = 2; // Another process does not know of the departure.
 	EXPECT_EQ(countOf(seen, Promise::LeavingHeard), 0u);
 }
 
--- a/tests/soakdeparturestest.cpp
+++ b/tests/soakdeparturestest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Soaks in which backend servers leave all the time: the seeds that ever failed, and as many gateways as CI bears.
+/// Soaks in which backend servers leave continually: seeds that failed before, with as many gateways as CI can run.
 
 #include "soakrun.h"
 
@@ -13,21 +13,21 @@
 constexpr Micros kSpan = 25 * kSecond;
 }
 
-// A read of the store that brought nothing in time was taken for an outage, in which a server whose record went is
-// used for two more seconds: 51 to 80 late requests of 7,700 (gatewayslowstoretest).
+// Guards against a store read that times out being treated as an outage, in which a server without a record is used
+// for two more seconds: 51 to 80 of 7,700 requests were late (gatewayslowstoretest).
 TEST(SoakDepartures, seed3)
 {
 	keepsPromises({soak::SoakProfile::Departures, 3, 8, 16, kSpan});
 }
 
-// The same, with lists up to 2.2 s old beside it: 69 to 123 late requests of 7,500.
+// Guards against the same fault, combined with lists up to 2.2 s old: 69 to 123 of 7,500 requests were late.
 TEST(SoakDepartures, seed4)
 {
 	keepsPromises({soak::SoakProfile::Departures, 4, 8, 16, kSpan});
 }
 
-// A relay that had never seen a server's record did not tell of its end: 48 late requests of 8,000, by lists that
-// seemed to be 0.1 s to 0.9 s old (gatewayrelaytest).
+// Guards against a relay that does not report the end of a record that it never saw: 48 of 8,000 requests were
+// late, by lists that appeared to be 0.1 s to 0.9 s old (gatewayrelaytest).
 TEST(SoakDepartures, seed405)
 {
 	keepsPromises({soak::SoakProfile::NarrowDepartures, 405, 8, 16, kSpan});
--- a/tests/soakheldrequesttest.cpp
+++ b/tests/soakheldrequesttest.cpp
@@ -2,12 +2,12 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A soak in which requests that were admitted in time run together, more than a second later.
+/// A soak in which requests that were admitted in time all run more than a second later.
 ///
-/// What was seen, once, beside other work on the machine: a team ran 607 of 594 requests in 8 s. 91 of them were
-/// admitted within 0.1 s and ran 1.2 s later. From 50.5 s to 51.5 s no gateway's log holds an answer, not even a
-/// refusal, while their timers ran in time. Open: not proved whether the soak's own process, which holds callers
-/// and backend servers, stood still, or something else held the requests.
+/// Failed once, on a busy machine: a team ran 607 requests in 8 s where 594 are allowed. 91 of them were admitted
+/// within 0.1 s and ran 1.2 s later. From 50.5 s to 51.5 s no gateway logged an answer or a refusal, while the
+/// gateways' timers ran on time. It is not known whether the soak's own process, which contains the callers and
+/// backend servers, stalled, or something else delayed the requests.
 
 #include "soakrun.h"
 
--- a/tests/soakhotonsettest.cpp
+++ b/tests/soakhotonsettest.cpp
@@ -2,12 +2,11 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A team that turns to eight times its limit at the moment in which half of the gateways, collectors among them,
-/// stand still.
+/// A team whose demand rises to eight times its limit when half of the gateways, collectors included, are paused.
 ///
-/// News of what is let through take up to 0.75 s, and longer while collectors are replaced; until then each gateway
-/// lets its part through. The limits here have no slack, where deployments tolerate 140,000 tokens besides the
-/// tenth.
+/// Reports of admitted requests take up to 0.75 s, and longer while collectors are replaced; until then each
+/// gateway admits its own share. The limits here have no slack, whereas deployments tolerate 140,000 tokens in
+/// addition to the tenth.
 
 #include "soakrun.h"
 
@@ -25,32 +24,34 @@
 }
 } // namespace
 
-// 417,340 of 396,000 tokens in 8 s.
+// Guards against 417,340 tokens in 8 s where 396,000 are allowed.
 TEST(SoakHotOnset, seed202)
 {
 	keepsLimits(202, 30);
 }
 
-// 478,127 of 396,000: 320 requests in a second where 100 are the limit, as 15 of 30 gateways go on after a stall.
+// Guards against 478,127 tokens where 396,000 are allowed: 320 requests ran in a second with a limit of 100, when
+// 15 of 30 gateways resumed after a stall.
 TEST(SoakHotOnset, seed206)
 {
 	keepsLimits(206, 30);
 }
 
-// 416,514 of 396,000.
+// Guards against 416,514 tokens where 396,000 are allowed.
 TEST(SoakHotOnset, seed211)
 {
 	keepsLimits(211, 42);
 }
 
-// 667,527 of 396,000: all gateways go on after 1.4 s with a full bucket, 21 lines collector-silent in the next
-// second, and 325, 176 and 159 requests pass in three seconds where 100 a second are the limit.
+// Guards against 667,527 tokens where 396,000 are allowed: all gateways resumed after 1.4 s with a full bucket and
+// logged collector-silent 21 times in the next second, and 325, 176 and 159 requests passed in three seconds with a
+// limit of 100 a second.
 TEST(SoakHotOnset, seed218)
 {
 	keepsLimits(218, 30);
 }
 
-// 398,296 of 396,000.
+// Guards against 398,296 tokens where 396,000 are allowed.
 TEST(SoakHotOnset, seed223)
 {
 	keepsLimits(223, 42);
--- a/tests/soakloweredtest.cpp
+++ b/tests/soakloweredtest.cpp
@@ -2,9 +2,9 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Soaks in which all limits fall far below what most teams ask for, and nothing else happens.
+/// Soaks in which all limits are lowered far below the demand of most teams, without other faults.
 ///
-/// What users saw, and what brings it about: quotaloweredtest.
+/// See quotaloweredtest for the failure and its cause.
 
 #include "soakrun.h"
 
@@ -15,13 +15,13 @@
 constexpr Micros kSpan = 24 * kSecond;
 }
 
-// A team with 4.2 requests a second left ran 45 of 41.58 in 8 s.
+// Guards against a team with a lowered limit of 4.2 requests a second running 45 in 8 s where 41.58 are allowed.
 TEST(SoakLowered, twelveGateways)
 {
 	keepsPromises({soak::SoakProfile::LoweredQuotas, 3, 12, 8, kSpan});
 }
 
-// A team with 2.4 requests a second left ran 35 of 23.76.
+// Guards against a team with a lowered limit of 2.4 requests a second running 35 in 8 s where 23.76 are allowed.
 TEST(SoakLowered, seventySevenGateways)
 {
 	keepsPromises({soak::SoakProfile::LoweredQuotas, 7, 77, 8, kSpan});
--- a/tests/soakrun.h
+++ b/tests/soakrun.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Runs a seeded soak in a test and reports each promise that was broken.
+/// Runs a seeded soak in a test and reports each broken promise.
 
 #ifndef BEACONGATE_TESTS_SOAKRUN_H
 #define BEACONGATE_TESTS_SOAKRUN_H
@@ -17,28 +17,27 @@
 
 namespace beacongate::test
 {
-/// What a soak in a test is made of.
+/// Parameters of a soak in a test.
 struct SoakCase
 {
 	soak::SoakProfile profile = soak::SoakProfile::Mixed;
 	std::uint64_t seed = 1;
 	unsigned gateways = 3;
 	unsigned callers = 6;
-	Micros span = 20 * kSecond;  ///< In which faults are injected.
+	Micros span = 20 * kSecond;  ///< Time in which faults are injected.
 	std::string oldProgram = {}; ///< Name of a program in the build, see SoakOptions.
 };
 
-/// Which promises a test asks for.
+/// Selects the promises that a test checks.
 enum class SoakPromises
 {
 	All,
-	/// All but that a team which asks for less than its limit is refused nothing, which soakbelowlimittest asks
-	/// for.
+	/// All promises except Promise::ServedBelowLimit, which soakbelowlimittest checks.
 	ButServedBelowLimit,
-	ServedBelowLimit, ///< That alone.
+	ServedBelowLimit, ///< Only Promise::ServedBelowLimit.
 };
 
-/// Fails for each promise that was broken; the logs of such a seed are kept.
+/// Adds a test failure for each broken promise and keeps the logs of a failed seed.
 inline void keepsPromises(const SoakCase& _case, SoakPromises _asked = SoakPromises::All)
 {
 	soak::SoakOptions options;
--- a/tests/soaktest.cpp
+++ b/tests/soaktest.cpp
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// A short soak with a fixed seed, and the seeds that ever failed.
+/// A short soak with a fixed seed, and seeds that failed before.
 
 #include "soakrun.h"
 
@@ -13,7 +13,7 @@
 	keepsPromises({soak::SoakProfile::Mixed, 20261202, 3, 6, 15 * kSecond});
 }
 
-// The soak's own proxy let later bytes overtake delayed ones when a delay ended (FaultProxy.whatIsDelayed...).
+// Guards against the soak's proxy reordering delayed bytes when a delay ends (FaultProxy.keepsOrderWhenDelayEnds).
 TEST(Soak, seed510)
 {
 	keepsPromises({soak::SoakProfile::Mixed, 510, 5});
--- a/tests/soakupgradetest.cpp
+++ b/tests/soakupgradetest.cpp
@@ -2,11 +2,11 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Soaks in which gateways are replaced one after the other by another build, and half of them is taken back, while
-/// callers keep their connections and faults go on.
+/// Soaks in which gateways are upgraded one after the other to another build, and half of them are rolled back,
+/// while callers keep their connections and faults are injected.
 ///
-/// The other build stands for one that comes later: its datagrams have the next format number and a field more.
-/// That these are read is held by buildstest; this soak was not shown to fail where they are dropped.
+/// The other build represents a later version: its datagrams have the next format number and an additional field.
+/// buildstest checks that these are read; this soak is not known to fail if they are dropped.
 
 #include "soakrun.h"
 
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -23,8 +23,8 @@
 
 constexpr int kExitBroken = 1;
 
-/// Runs one seed and prints what it found.
-/// @returns whether all promises were kept.
+/// Runs the soak of one seed and prints its findings.
+/// @returns true if all promises were kept.
 bool runSeed(soak::SoakOptions _options, const std::string& _report)
 {
 	const std::filesystem::path directory =
--- a/tools/soak/answercheck.cpp
+++ b/tools/soak/answercheck.cpp
@@ -13,7 +13,7 @@
 {
 namespace
 {
-/// A request that reached a backend server, with what its caller knows of it.
+/// A request's arrival at a backend server, with the caller's record of the request.
 struct Arrival
 {
 	const ObservedArrival* seen = nullptr;
@@ -28,7 +28,7 @@
 	return std::to_string(_span / kMillisecond) + " ms";
 }
 
-/// @returns whether a gateway's process was neither killed nor stopped nor stood still in a span.
+/// @returns true if a gateway's process was not killed, stopped or paused in a span.
 bool ran(const Observations& _seen, unsigned _gateway, Micros _from, Micros _until)
 {
 	return std::none_of(_seen.disruptions.begin(), _seen.disruptions.end(),
@@ -79,7 +79,7 @@
 	}
 }
 
-/// @returns when each process first passed on an answer in which the backend server said that it leaves.
+/// @returns when each process first forwarded an answer in which the backend server announced its departure.
 std::map<std::pair<Pair, std::uint64_t>, Micros> heardLeaving(const Observations& _seen)
 {
 	std::map<std::pair<Pair, std::uint64_t>, Micros> heard;
--- a/tools/soak/caller.cpp
+++ b/tools/soak/caller.cpp
@@ -174,7 +174,7 @@
 	_request.backend = findHeader(head.headers, platform::kStamp);
 	_request.saysLeaving = findHeader(head.headers, platform::kLeaving) == "1";
 	_request.right = own && (head.status != kOk || (stamped && body == expectedBody(_request)));
-	// Bytes after an answer belong to no request.
+	// Bytes after the end of an answer belong to no request, which makes the answer wrong.
 	_request.right = _request.right && m_input.empty();
 	if (_request.whole && !head.keepAlive)
 	{
--- a/tools/soak/checker.cpp
+++ b/tools/soak/checker.cpp
@@ -16,12 +16,13 @@
 {
 constexpr unsigned kOk = 200;
 constexpr unsigned kUnauthorized = 401;
-constexpr double kServedShare = 0.9; ///< Of the requests after everything has settled.
+constexpr double kServedShare = 0.9; ///< Least share of requests served after the last disruption.
 constexpr std::size_t kEnoughRequests = 10;
-/// Of what teams below their limits ask for, that may be refused over a whole run while gateways are disturbed.
+/// Largest share of the requests of teams below their limits that may be refused over a whole run, disturbed
+/// gateways included.
 constexpr double kMostRefusedBelow = 0.05;
-/// The version that removes a key brings another; their moments are noted one after the other, less apart than two
-/// versions ever are.
+/// The configuration version that removes a key adds another, and the two times are recorded one after the other.
+/// Times closer than this belong to one version, since two versions are always further apart.
 constexpr Micros kSameVersion = 10 * kMillisecond;
 
 bool promisesNotRun(unsigned _status)
@@ -35,7 +36,7 @@
 	return std::to_string(_span / kMillisecond) + " ms";
 }
 
-/// Looks things up in what was seen.
+/// Indexes the recorded runs, requests and disruptions of a soak.
 class Evidence
 {
 public:
@@ -59,15 +60,15 @@
 		return it == m_runs.end() ? s_none : it->second;
 	}
 
-	/// @returns the request of an id, or nullptr.
+	/// @returns the request with an id, or nullptr.
 	const ObservedRequest* requestOf(const std::string& _id) const
 	{
 		const auto it = m_requests.find(_id);
 		return it == m_requests.end() ? nullptr : it->second;
 	}
 
-	/// @param[in] _backends Whether backend servers have to have been sound, too.
-	/// @returns whether nothing touched a gateway in a span.
+	/// @param[in] _backends True if faults of backend servers count as well.
+	/// @returns true if no disruption affected a gateway in a span.
 	bool calm(unsigned _gateway, Micros _from, Micros _until, bool _backends) const
 	{
 		return std::none_of(m_seen.disruptions.begin(), m_seen.disruptions.end(),
@@ -110,7 +111,7 @@
 		asked += use.askedBelow;
 		refused += use.refusedBelow;
 	}
-	// A gateway that hears none of the others, since they stand still, gives its equal share and no more.
+	// A gateway that hears from no other one, since they are paused, grants no more than its equal share.
 	if (static_cast<double>(refused) > kMostRefusedBelow * static_cast<double>(asked))
 	{
 		_findings.push_back({Promise::ServedBelowLimit,
@@ -220,12 +221,12 @@
 	}
 }
 
-/// A gateway's process: its number, and which of its starts.
+/// A gateway's process: the gateway's number and the ordinal of the process start.
 using Process = std::pair<unsigned, std::uint64_t>;
 
-/// @returns when each process was first seen to have the version that removed a key: it refused that key though it
-/// had run something with it before, or it ran something with a key that this version or a later one brought. A
-/// refusal alone may come from a version before the one that brought the key.
+/// @returns when each process was first known to have the configuration version that removed a key: it refused that
+/// key after it had run a request with it, or it ran a request with a key that this version or a later one added. A
+/// refusal alone may come from a version before the one that added the key.
 std::map<Process, Micros> sawRemoval(const Observations& _seen, const Evidence& _evidence, const KeyLife& _key)
 {
 	std::set<std::string> later;
@@ -316,7 +317,7 @@
 	std::size_t served = 0;
 	for (const ObservedRequest& request : _seen.requests)
 	{
-		// What teams with limits are refused is looked at by itself.
+		// Refusals of teams with limits are checked by checkQuotas().
 		const bool unlimited = request.team.empty();
 		if (unlimited && request.sent >= _seen.settled && !request.gaveUp && request.status != kUnauthorized)
 		{
--- a/tools/soak/faultproxy.cpp
+++ b/tools/soak/faultproxy.cpp
@@ -20,12 +20,12 @@
 constexpr Micros kUserTimeout = 10 * kSecond;
 } // namespace
 
-/// Two connections whose bytes are passed to each other.
+/// Two connections, each of which receives the bytes of the other.
 struct FaultProxy::Link
 {
 	TcpConnection::Ptr caller;
 	TcpConnection::Ptr target;
-	std::deque<std::string> toTarget; ///< Pieces that wait, in order.
+	std::deque<std::string> toTarget; ///< Delayed chunks, in order of arrival.
 	std::deque<std::string> toCaller;
 	bool ended = false;
 };
@@ -72,7 +72,7 @@
 			{
 				return;
 			}
-			// Where bytes were dropped, what follows would make no sense.
+			// Links that lost bytes are reset, since the rest of their stream would be corrupt.
 			const std::list<LinkPtr> links = m_links;
 			for (const LinkPtr& link : links)
 			{
@@ -148,7 +148,7 @@
 		deliverNext(_link, _fromCaller);
 		return;
 	}
-	// A piece is never delivered before those that came earlier, also where the fault ends meanwhile.
+	// A chunk is never delivered before earlier ones, even if the fault ends while these are delayed.
 	auto timer = std::make_shared<asio::steady_timer>(m_loop.context(), std::chrono::microseconds(m_delay));
 	timer->async_wait([this, timer, _link, _fromCaller](const BoostError&) { deliverNext(_link, _fromCaller); });
 }
--- a/tools/soak/observations.h
+++ b/tools/soak/observations.h
@@ -155,7 +155,7 @@
 	std::vector<UsageReport> reports;
 	std::size_t replaced = 0;             ///< Number of replacements of a gateway by another build.
 	std::vector<std::string> unaskedEnds; ///< Processes that ended without a signal from the soak.
-	Micros settled = kNever;              ///< From then on no fault is injected and every request has to be served.
+	Micros settled = kNever;              ///< From then on no fault is injected and requests have to be served.
 };
 
 } // namespace beacongate::soak
--- a/tools/soak/openload.cpp
+++ b/tools/soak/openload.cpp
@@ -15,14 +15,14 @@
 {
 namespace
 {
-constexpr Micros kTick = 5 * kMillisecond; ///< Between two looks at what has arrived.
+constexpr Micros kTick = 5 * kMillisecond; ///< Interval at which new arrivals are sent.
 constexpr Micros kAnswerSpan = 4 * kSecond;
 constexpr Micros kDeadline = 3 * kSecond;
 constexpr unsigned kOk = 200;
-constexpr double kLargestTokens = 5.0; ///< Times the mean.
+constexpr double kLargestTokens = 5.0; ///< Largest number of tokens of a request, as a multiple of the mean.
 } // namespace
 
-/// A request that waits for its answer.
+/// A request in flight.
 struct OpenLoad::Open
 {
 	ObservedRequest request;
--- a/tools/soak/quotacheck.cpp
+++ b/tools/soak/quotacheck.cpp
@@ -13,17 +13,17 @@
 namespace
 {
 constexpr unsigned kTooMany = 429;
-constexpr double kBelow = 0.8;             ///< Of a limit, up to which a team is below it for sure.
-constexpr Micros kLookBack = 10 * kSecond; ///< Over which it has to have been below it.
+constexpr double kBelow = 0.8;             ///< Share of a limit up to which a team is certainly below it.
+constexpr Micros kLookBack = 10 * kSecond; ///< Span in which the team has to have been below it.
 
-/// An amount at a moment.
+/// An amount of requests or tokens at a time.
 struct Taking
 {
 	Micros at = 0;
 	double amount = 0.0;
 };
 
-/// The limits of one team.
+/// All limits of one team during a soak.
 class Limits
 {
 public:
@@ -43,7 +43,7 @@
 		return m_limits.front().limit.countsTokens;
 	}
 
-	/// @returns the most that may run in a window.
+	/// @returns the largest amount that may run in a window.
 	double tolerated(Micros _from, Micros _until) const
 	{
 		double most = 0.0;
@@ -59,7 +59,7 @@
 		return most;
 	}
 
-	/// @returns the smallest limit in force in a span, or on its way.
+	/// @returns the smallest limit that any gateway may have applied in a span.
 	TeamLimit smallest(Micros _from, Micros _until) const
 	{
 		TeamLimit smallest = m_limits.back().limit;
@@ -85,7 +85,7 @@
 		Micros heldUntil = kNever;
 	};
 
-	/// @returns when a limit that was replaced is out of force at all gateways for sure.
+	/// @returns when a replaced limit has certainly ceased to apply at all gateways.
 	Micros heldUntil(Micros _replaced) const
 	{
 		if (_replaced == kNever)
@@ -105,8 +105,8 @@
 		return held;
 	}
 
-	/// @param[in] _gateway Nothing for those that are disturbed only by what touches all.
-	/// @returns when a gateway has been sound for as long as a configuration may take.
+	/// @param[in] _gateway Empty for gateways that are affected only by disruptions of all gateways.
+	/// @returns when a gateway has been undisturbed for as long as applying a configuration may take.
 	Micros heldUntil(Micros _replaced, const std::optional<unsigned>& _gateway) const
 	{
 		Micros held = _replaced + m_seen.bounds.configApply;
@@ -133,7 +133,7 @@
 	std::vector<Entry> m_limits;
 };
 
-/// Finds the window in which most ran.
+/// Finds the window with the largest ratio of run to tolerated amount.
 void fillMost(TeamUse& _use, std::vector<Taking> _runs, const Limits& _limits, Micros _window, Micros _first)
 {
 	std::sort(_runs.begin(), _runs.end(),
@@ -157,8 +157,9 @@
 	}
 }
 
-/// @param[in] _asked In order; what was asked for until the decision.
-/// @returns whether all that was asked for in any span that ends with the decision fits into the limit.
+/// @param[in] _asked Amounts asked for, in order of time; those after the decision are ignored.
+/// @returns true if the amount asked for in every span up to kLookBack that ends with the decision is below the
+/// limit.
 bool isBelow(const std::vector<Taking>& _asked, const TeamLimit& _limit, Micros _decided)
 {
 	const auto later = [](Micros _moment, const Taking& _taking)
@@ -183,7 +184,7 @@
 	return true;
 }
 
-/// @returns whether no gateway was disturbed in a span.
+/// @returns true if no gateway was disturbed in a span.
 bool allCalm(const Observations& _seen, Micros _from, Micros _until)
 {
 	const auto disturbs = [&](const Disruption& _disruption)
@@ -222,7 +223,7 @@
 		if (below && refused)
 		{
 			++_use.refusedBelow;
-			// At first the gateways have just started.
+			// The first requests meet gateways that have just started, which counts as a disturbance.
 			const bool started = request->sent >= _requests.front()->sent + bounds.contact;
 			if (started && allCalm(_seen, request->sent - bounds.contact, request->ended))
 			{
--- a/tools/soak/report.cpp
+++ b/tools/soak/report.cpp
@@ -15,10 +15,10 @@
 constexpr double kWidth = 1100.0;
 constexpr double kLatencyHeight = 260.0;
 constexpr double kRowHeight = 14.0;
-constexpr double kSlowest = 5000.0; ///< Milliseconds at the top of the plot.
+constexpr double kSlowest = 5000.0; ///< Latency at the top of the plot, in milliseconds.
 constexpr double kLeft = 120.0;
 
-/// Turns moments into positions.
+/// Converts times into horizontal positions.
 class TimeAxis
 {
 public:
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -28,24 +28,25 @@
 constexpr std::uint16_t kStorePort = 19104;
 constexpr std::uint16_t kDutyPort = 19105;
 constexpr std::uint16_t kBackendPorts = 19200;
-constexpr unsigned kStoreProxyHosts = 500; ///< Plus the gateway's number.
+constexpr unsigned kStoreProxyHosts =
+	500; ///< Number of the first host of the store's proxies; the gateway's number is added.
 constexpr unsigned kPlatformHost = 1000;
 constexpr unsigned kBackendHost = 1001;
 constexpr unsigned kBackendProxyHost = 1002;
 constexpr unsigned kHostsInNet = 250;
-constexpr unsigned kNetsOfSoak = 5; ///< That hold all hosts above.
+constexpr unsigned kNetsOfSoak = 5; ///< Number of networks that hold all hosts above.
 constexpr std::size_t kKeysInForce = 2;
 constexpr Micros kStep = 20 * kMillisecond;
 constexpr Micros kGrace = 6 * kSecond;
 constexpr Micros kSettleSpan = 7 * kSecond;
 constexpr Micros kProofSpan = 3 * kSecond;
 constexpr Micros kStartSpan = 15 * kSecond;
-constexpr Micros kCalmLowered = 20 * kSecond; ///< After limits were lowered, in which nothing else happens.
+constexpr Micros kCalmLowered = 20 * kSecond; ///< Span without faults after limits were lowered.
 constexpr unsigned kMostRequestsAConnection = 6;
 
 bool isReady(const Address& _address)
 {
-	// Any answer to a call proves that the gateway knows a configuration.
+	// A successful answer proves that the gateway has a configuration.
 	CallerConnection connection(_address);
 	ObservedRequest request;
 	request.id = "probe";
@@ -162,7 +163,7 @@
 		removed->removed = monotonicNow();
 	}
 	putConfig();
-	// The bounds run from the store's acknowledgement.
+	// The bounds are measured from the store's acknowledgement.
 	m_seen.keys.back().added = monotonicNow();
 	if (removed)
 	{
@@ -173,7 +174,7 @@
 ObservedRequest Soak::makeRequest(std::minstd_rand& _random, unsigned _caller, unsigned _number)
 {
 	constexpr unsigned kKinds = 4;
-	constexpr unsigned kOldKeyShare = 8; ///< One in so many is sent with a key of any age.
+	constexpr unsigned kOldKeyShare = 8; ///< One in this many requests is sent with a key of any age.
 	ObservedRequest request;
 	request.id = std::to_string(_caller) + "-" + std::to_string(_number);
 	request.kind = static_cast<RequestKind>(_random() % kKinds);
@@ -197,7 +198,7 @@
 		CallerConnection connection(m_gateways[gateway]->address);
 		if (m_gateways[gateway]->process->starts() != start)
 		{
-			continue; // Which process took the connection is not known.
+			continue; // It is unknown which process accepted the connection.
 		}
 		const unsigned count = 1 + static_cast<unsigned>(random() % kMostRequestsAConnection);
 		for (unsigned sent = 0; sent < count && connection.open() && m_calling; ++sent)
@@ -308,7 +309,7 @@
 
 void Soak::settle()
 {
-	// What was begun ends by itself; stopping gateways come back.
+	// The pending actions end all faults and restart stopped gateways.
 	while (!m_pending.empty())
 	{
 		runUntil(monotonicNow() + kStep);
@@ -427,7 +428,7 @@
 			continue;
 		}
 		injectOne();
-		// Series that overlap, and now and then a calm span in which all bounds hold.
+		// Most faults overlap; an occasional longer pause lets all bounds take effect.
 		runUntil(monotonicNow() + (drawn(12) == 0 ? drawnSpan(5 * kSecond, 8 * kSecond)
 												  : drawnSpan(50 * kMillisecond, 700 * kMillisecond)));
 	}
--- a/tools/soak/soakanswers.cpp
+++ b/tools/soak/soakanswers.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Backend servers that say of themselves in their answers what no record tells.
+// Faults in which backend servers announce a backoff or a departure in their answers only.
 
 #include "daemon/clock.h"
 #include "soak/soak_p.h"
@@ -26,7 +26,7 @@
 
 void Soak::askForBackoff()
 {
-	// The usual, fractions, none, and what is no number of seconds.
+	// The values are whole seconds, fractions, zero, and invalid values.
 	constexpr std::array kValues = {"3", "2", "1", "4", "0.7", "2.5", "3", "0", "-2", "soon"};
 	constexpr std::array kFaults = {standin::WorkerFault::Rejects, standin::WorkerFault::RejectsSome,
 									standin::WorkerFault::RejectsSome};
@@ -50,7 +50,7 @@
 
 void Soak::leaveInAnswers()
 {
-	// Its record says so later, once the store is back.
+	// The record in the store shows the departure only later.
 	addBackend();
 	Backend& backend = stayingBackend();
 	backend.leaving = true;
--- a/tools/soak/soakfaults.cpp
+++ b/tools/soak/soakfaults.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// The faults that a soak injects.
+// Faults that a soak injects into gateways, the store and backend servers.
 
 #include "daemon/clock.h"
 #include "platform/names.h"
@@ -63,7 +63,8 @@
 
 void Soak::holdUpGateway(unsigned _number)
 {
-	// Sound VMs get no processor time for such a span where others need it: no disruption, all bounds hold.
+	// Healthy VMs may get no processor time for such a span under contention. It therefore is no disruption, and
+	// all bounds hold.
 	Gateway& gateway = *m_gateways[_number];
 	gateway.paused = true;
 	gateway.process->signal(SIGSTOP);
@@ -77,8 +78,8 @@
 
 void Soak::slowStore(unsigned _number)
 {
-	// Both ways work and the store is well: no disruption, all bounds hold. An answer takes 0.4 s to 1.1 s, up to
-	// half of the span that bounds new work.
+	// Both directions work and the store is healthy, so this is no disruption and all bounds hold. An answer takes
+	// 0.4 s to 1.1 s, up to half of the bound on new work for departed servers.
 	Gateway& gateway = *m_gateways[_number];
 	gateway.cut = true;
 	gateway.storeLink->setFault(LinkFault::Delays, drawnSpan(200 * kMillisecond, 550 * kMillisecond));
@@ -92,7 +93,7 @@
 
 void Soak::narrowStore()
 {
-	// A configuration of 160 kB takes half a second, as it does over a link of 10 Mbit/s that is nearly full.
+	// A configuration of 160 kB takes half a second, as over a nearly saturated link of 10 Mbit/s.
 	constexpr unsigned kMostRoutes = 600;
 	constexpr std::size_t kRate = 320'000;
 	m_narrow = true;
--- a/tools/soak/soakquotas.cpp
+++ b/tools/soak/soakquotas.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Teams with limits, and the troubles that a soak of quotas injects.
+// Teams with limits, and the faults that a soak of quotas injects.
 
 #include "daemon/clock.h"
 #include "soak/soak_p.h"
@@ -19,24 +19,24 @@
 {
 	const char* name;
 	double ratePerSecond;
-	double meanTokens; ///< 0 where its limit counts requests.
-	double slack;      ///< That may run in a window on top of the tolerance, unless limits are lowered.
+	double meanTokens; ///< Mean tokens of a request; 0 if the limit counts requests.
+	double slack;      ///< Amount that may run in a window in addition to the tolerance, unless limits are lowered.
 };
 
-/// One with many requests a second for each gateway, one with few, one with hardly any. Bursts are a second's
-/// worth. Deployments tolerate 140,000 tokens more of a team, whose smallest limit is 36,000 a second: the small
-/// one here has that in proportion, the others nothing.
+/// The teams have many, few and very few requests a second per gateway. A burst equals the amount of one second.
+/// Deployments tolerate 140,000 additional tokens of a team, with a smallest limit of 36,000 a second; the small
+/// team has slack in that proportion, the others none.
 constexpr std::array kShapes = {TeamShape{"calls", 60.0, 0.0, 0.0}, TeamShape{"tokens", 40'000.0, 400.0, 0.0},
 								TeamShape{"small", 8'000.0, 1'000.0, 30'000.0}};
-/// What teams ask for, as a part of their limits: below it, or several times as much.
+/// Demand of teams as a multiple of their limits: below the limit, or several times as much.
 constexpr std::array kDemands = {0.3, 0.6, 0.6, 4.0, 8.0};
-/// Parts of the first limits, one of which all limits are lowered to.
+/// Shares of the first limits; all limits are lowered to one of them.
 constexpr std::array kLoweredTo = {0.04, 0.07, 0.1};
-/// Of its lowered limit, that a team below it asks for.
+/// Demand of the team that stays below its limit, as a share of the lowered limit.
 constexpr double kBelowLowered = 0.5;
-/// What the other teams ask for then, as a part of their first limits.
+/// Demand of the other teams at that time, as a multiple of their first limits.
 constexpr std::array kLoweredDemands = {0.6, 4.0, 6.0};
-/// Mean requests, half of what deployments tolerate: their 140,000 tokens are 30 requests.
+/// Slack in requests of mean size: half of what deployments tolerate, whose 140,000 tokens are 30 requests.
 constexpr double kLoweredSlack = 15.0;
 constexpr Micros kBeforeLowered = 5 * kSecond;
 
--- a/tools/soak/soakupgrade.cpp
+++ b/tools/soak/soakupgrade.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// An upgrade that goes through all gateways, one after the other, and is taken back at some, while faults go on.
+// A rolling upgrade of all gateways, rolled back at some of them, while other faults are injected.
 
 #include "daemon/clock.h"
 #include "soak/soak_p.h"
@@ -13,7 +13,7 @@
 {
 namespace
 {
-/// Of the span with faults, that the upgrade of all gateways takes; in the rest, it is taken back.
+/// Share of the span with faults in which all gateways are upgraded; the rollback takes the rest.
 constexpr double kUpgradeShare = 0.6;
 constexpr Micros kRetry = 100 * kMillisecond;
 constexpr unsigned kTakenBackOneIn = 2;
