--- a/src/transport/httpchannel.cpp
+++ b/src/transport/httpchannel.cpp
@@ -29,7 +29,7 @@
 		return "silent";
 	case ChannelFault::Busy:
 		return "busy";
-	case ChannelFault::TurnedAway:
+	case ChannelFault::CallRejected:
 		return "turned-away";
 	}
 	return "unknown";
@@ -127,7 +127,7 @@
 							if (!_connection)
 							{
 								const bool inTime = std::chrono::steady_clock::now() < self->m_timer.expiry();
-								self->fail(inTime ? ChannelFault::TurnedAway : ChannelFault::Silent);
+								self->fail(inTime ? ChannelFault::CallRejected : ChannelFault::Silent);
 								return;
 							}
 							self->m_connection = _connection;
@@ -180,7 +180,7 @@
 	if (m_parser->fault() != ParseFault::None)
 	{
 		dropConnection();
-		fail(ChannelFault::TurnedAway);
+		fail(ChannelFault::CallRejected);
 		return;
 	}
 	const bool good = m_parser->headDone() && m_parser->head().status == kOk;
@@ -240,7 +240,7 @@
 		connect();
 		return;
 	}
-	fail(ChannelFault::TurnedAway);
+	fail(ChannelFault::CallRejected);
 }
 
 void HttpChannel::fail(ChannelFault _fault)
--- a/src/transport/serversession.cpp
+++ b/src/transport/serversession.cpp
@@ -75,9 +75,9 @@
 	m_connection->start(std::move(handlers));
 }
 
-void ServerSession::setGoneHandler(std::function<void()> _onGone)
+void ServerSession::setDisconnectHandler(std::function<void()> _onDisconnected)
 {
-	m_onGone = std::move(_onGone);
+	m_onGone = std::move(_onDisconnected);
 }
 
 void ServerSession::setDrainedHandler(std::function<void()> _onDrained)
@@ -375,12 +375,12 @@
 	m_counted = 0;
 	const auto self = shared_from_this();
 	m_context->sessions.erase(self);
-	const auto onGone = std::move(m_onGone);
+	const auto onDisconnected = std::move(m_onGone);
 	m_onGone = nullptr;
 	m_onDrained = nullptr;
-	if (onGone)
+	if (onDisconnected)
 	{
-		onGone();
+		onDisconnected();
 	}
 }
 
--- a/src/transport/serversession.h
+++ b/src/transport/serversession.h
@@ -58,7 +58,7 @@
 
 	/// Sets the handler for a client that disconnects before its answer is complete. The end of the answer clears
 	/// it.
-	void setGoneHandler(std::function<void()> _onGone);
+	void setDisconnectHandler(std::function<void()> _onDisconnected);
 
 	/// Sets the handler that is called when the system has accepted all bytes that were queued for sending.
 	void setDrainedHandler(std::function<void()> _onDrained);
