--- a/tests/gatewaybackofftest.cpp
+++ b/tests/gatewaybackofftest.cpp
@@ -157,7 +157,7 @@
 	call("GET", "/safe/", "f");
 	EXPECT_EQ(statusOf(call("GET", "/safe/", "f2")), 503u);
 	setFaults(WorkerFault::None);
-	registerWorker(1, "ready", standin::kFirstBorn + 1);
+	registerWorker(1, "ready", standin::kFirstStartTimeMs + 1);
 	EXPECT_TRUE(await([&] { return statusOf(call("GET", "/safe/", "f3")) == 200; }));
 }
 
--- a/tests/gatewayfixture.h
+++ b/tests/gatewayfixture.h
@@ -180,7 +180,8 @@
 		return "w" + std::to_string(_number);
 	}
 
-	void registerWorker(unsigned _number, const std::string& _state, std::uint64_t _born = standin::kFirstBorn)
+	void registerWorker(unsigned _number, const std::string& _state,
+						std::uint64_t _born = standin::kFirstStartTimeMs)
 	{
 		constexpr unsigned kSlots = 4;
 		const Address address{host(100 + _number), kWorkerPort};
--- a/tests/identitytest.cpp
+++ b/tests/identitytest.cpp
@@ -155,7 +155,7 @@
 	store->remove("servers/" + workerId(2));
 	registerWorker(1, "draining");
 	std::this_thread::sleep_for(std::chrono::milliseconds(1500));
-	registerWorker(1, "ready", standin::kFirstBorn + 5000);
+	registerWorker(1, "ready", standin::kFirstStartTimeMs + 5000);
 	for (const unsigned gateway : {1u, 2u})
 	{
 		EXPECT_TRUE(
--- a/tools/standin/platformsite.h
+++ b/tools/standin/platformsite.h
@@ -57,13 +57,13 @@
 std::string formatConfig(const SiteConfig& _config);
 
 /// Start time of a backend server that has not restarted, in Unix milliseconds.
-inline constexpr std::uint64_t kFirstBorn = 1'700'000'000'000;
+inline constexpr std::uint64_t kFirstStartTimeMs = 1'700'000'000'000;
 
 /// @returns a backend server's record as a JSON document.
 /// @param[in] _state State in the platform's terms: ready or draining.
 /// @param[in] _born Start time of the backend server, in Unix milliseconds.
 std::string formatRecord(const Address& _address, unsigned _slots, const std::string& _state,
-						 std::uint64_t _born = kFirstBorn);
+						 std::uint64_t _born = kFirstStartTimeMs);
 
 /// Values of a gateway's settings file.
 struct SiteGateway
