--- a/tests/gatewaystoretest.cpp
+++ b/tests/gatewaystoretest.cpp
@@ -117,9 +117,9 @@
 {
 	startGateway(settings(1));
 	store->put("servers/" + workerId(1), Json{{"service", "s"}}.dump()); // An invalid record, which is ignored.
-	store->forgetHistory();
+	store->compactHistory();
 	store->put(platform::kConfigKey, config(2, {"other"}));
-	store->forgetHistory();
+	store->compactHistory();
 	EXPECT_TRUE(await([&] { return statusOf(call("GET", "/safe/", "r1", "other")) == 200; }, 2 * kSecond));
 }
 
--- a/tools/soak/soakfaults.cpp
+++ b/tools/soak/soakfaults.cpp
@@ -131,7 +131,7 @@
 	const std::size_t disruption = disrupt("store", std::nullopt);
 	if (drawn(4) == 0)
 	{
-		m_store->forgetHistory();
+		m_store->compactHistory();
 		calmDown(disruption);
 		return;
 	}
--- a/tools/standin/platform.cpp
+++ b/tools/standin/platform.cpp
@@ -213,7 +213,7 @@
 		});
 }
 
-void PlatformStore::forgetHistory()
+void PlatformStore::compactHistory()
 {
 	m_loop.run(
 		[this]
--- a/tools/standin/platform.h
+++ b/tools/standin/platform.h
@@ -80,7 +80,7 @@
 	void setReadRate(std::size_t _bytesPerSecond);
 
 	/// Drops the event history and closes the open watches. Watches from an earlier revision are answered with 410.
-	void forgetHistory();
+	void compactHistory();
 
 	/// @returns the number of calls received.
 	unsigned calls() const
