--- a/tests/gatewaybackofftest.cpp
+++ b/tests/gatewaybackofftest.cpp
@@ -72,7 +72,7 @@
 			for (const standin::WorkerArrival& other : arrivals)
 			{
 				const bool duringBackoff =
-					other.at > rejection.at + kInFlightSpan && other.at < rejection.at + rejection.backoffAsked;
+					other.at > rejection.at + kInFlightSpan && other.at < rejection.at + rejection.requestedBackoff;
 				count += duringBackoff ? 1 : 0;
 			}
 			largest = std::max(largest, count);
@@ -118,7 +118,7 @@
 		{
 			call("POST", "/unsafe/", "c");
 			return maxRequestsInBackoff(1) == 0 && !workers[0]->arrivals().empty() &&
-				   workers[0]->arrivals().back().backoffAsked > 0;
+				   workers[0]->arrivals().back().requestedBackoff > 0;
 		}));
 	for (unsigned number = 0; number < 20; ++number)
 	{
--- a/tools/soak/answercheck.cpp
+++ b/tools/soak/answercheck.cpp
@@ -65,7 +65,7 @@
 	for (const Arrival& asking : _arrivals)
 	{
 		const Micros from = asking.seen->at + _seen.bounds.underWay;
-		const Micros until = asking.seen->at + asking.seen->backoffAsked;
+		const Micros until = asking.seen->at + asking.seen->requestedBackoff;
 		const auto meanwhile =
 			std::count_if(_arrivals.begin(), _arrivals.end(),
 						  [&](const Arrival& _other) { return _other.seen->at > from && _other.seen->at < until; });
@@ -73,7 +73,7 @@
 		{
 			_findings.push_back({Promise::BackoffKept, "backend " + _pair.second + " asked gateway " +
 														   std::to_string(_pair.first) + " for " +
-														   millis(asking.seen->backoffAsked) + " and got " +
+														   millis(asking.seen->requestedBackoff) + " and got " +
 														   std::to_string(meanwhile) + " requests in that time"});
 		}
 	}
--- a/tools/soak/observations.h
+++ b/tools/soak/observations.h
@@ -80,7 +80,7 @@
 	std::string id;
 	std::string backend;
 	Micros at = 0;
-	Micros backoffAsked = 0; ///< Backoff that the answer requested of the gateway; 0 if none.
+	Micros requestedBackoff = 0; ///< Backoff that the answer requested of the gateway; 0 if none.
 };
 
 /// A fault or a change that was injected into a gateway, all gateways, the store or a backend server.
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -337,7 +337,7 @@
 		}
 		for (const standin::WorkerArrival& arrival : backend->worker->arrivals())
 		{
-			m_seen.arrivals.push_back({arrival.id, backend->id, arrival.at, arrival.backoffAsked});
+			m_seen.arrivals.push_back({arrival.id, backend->id, arrival.at, arrival.requestedBackoff});
 		}
 	}
 	for (const standin::DutyCall& call : m_duties->calls())
--- a/tools/standin/platform.h
+++ b/tools/standin/platform.h
@@ -173,7 +173,7 @@
 {
 	std::string id;
 	Micros at = 0;
-	Micros backoffAsked = 0; ///< Retry-After value of a rejection; 0 if there was none.
+	Micros requestedBackoff = 0; ///< Retry-After value of a rejection; 0 if there was none.
 };
 
 /// A worker that serves plain calls and event streams.
