--- a/tools/ctl.cpp
+++ b/tools/ctl.cpp
@@ -203,7 +203,7 @@
 		}
 		std::this_thread::sleep_for(kPollInterval);
 	}
-	std::cerr << "beacongatectl: not in force everywhere yet; see 'show entries'\n";
+	std::cerr << "beacongatectl: timeout before the version was in force at all entries; see 'show entries'\n";
 	return kExitUnreachable;
 }
 
@@ -231,7 +231,8 @@
 				  << " (version " << version << " is in force)\n";
 		return "outcome-unknown" == failure ? kExitUnknown : kExitRefused;
 	}
-	std::cerr << "beacongatectl: no answer in time; look for change " << id << " in 'show config'\n";
+	std::cerr << "beacongatectl: timeout before the outcome was known; look for change " << id
+			  << " in 'show config'\n";
 	return kExitUnknown;
 }
 
@@ -250,8 +251,8 @@
 
 int main(int _argc, char** _argv)
 {
-	CLI::App app("Asks what is running, where and why, and changes the configuration.\n"
-				 "Exit codes: 0 done, 1 refused, 2 wrong flags, 3 a process did not answer, 4 outcome unknown.",
+	CLI::App app("Queries the running state and changes the configuration.\n"
+				 "Exit codes: 0 done, 1 refused, 2 invalid flags, 3 a process did not answer, 4 outcome unknown.",
 				 "beacongatectl");
 	app.set_version_flag("--version", "beacongate 0.1.0");
 	std::string control;
@@ -260,7 +261,7 @@
 	bool wait = false;
 	app.add_option("--control", control, "Address of any control")->envname("BEACONGATE_CONTROL")->required();
 	app.add_flag("--json", json, "Print JSON");
-	app.add_flag("--wait", wait, "After a change, wait until it is in force at all entries");
+	app.add_flag("--wait", wait, "After a change, wait until it is in force at all entries that answer");
 	app.add_option(
 		   "statement", words,
 		   "show TABLE [where COLUMN = VALUE [and ...]] | explain request ID | set KIND NAME COLUMN VALUE | "
--- a/tools/gateway.cpp
+++ b/tools/gateway.cpp
@@ -16,14 +16,15 @@
 int main(int _argc, char** _argv)
 {
 	using namespace beacongate;
-	CLI::App app("Takes callers' requests and sends them to backend servers, on a VM of the platform.",
+	CLI::App app("Forwards callers' requests to backend servers. Runs on a VM of the platform.",
 				 "beacongate-gateway");
 	std::string path;
 	bool checkOnly = false;
-	app.add_option("--settings", path, "Settings file; left out, the platform's variable names it");
-	app.add_flag("--check", checkOnly, "Reads the settings and ends");
+	app.add_option("--settings", path, "Settings file; if left out, the platform's environment variable names it");
+	app.add_flag("--check", checkOnly, "Check the settings file and exit");
 	std::uint16_t metricsPort = 0;
-	app.add_option("--metrics-port", metricsPort, "Port for scrapers on the callers' host; 0 serves no figures [0]")
+	app.add_option("--metrics-port", metricsPort,
+				   "Port on the callers' host that serves metrics; 0 serves none [0]")
 		->envname("BEACONGATE_METRICS_PORT");
 	CLI11_PARSE(app, _argc, _argv);
 	std::signal(SIGPIPE, SIG_IGN);
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -227,14 +227,19 @@
 	LoadOptions options;
 	std::vector<std::string> targets;
 	app.add_option("--target", targets, "Address of an entry, on the loopback")->required();
-	app.add_option("--path", options.path, "Path of plain calls, or of the model endpoint");
+	app.add_option("--path", options.path, "Path of the plain calls or of the model endpoint");
 	app.add_option("--token", options.token, "Bearer token");
-	app.add_option("--model", options.model, "Model; without it plain calls are sent");
-	app.add_option("--max-tokens", options.maxTokens, "Tokens of an answer")->check(CLI::Range(1, 4096));
-	app.add_option("--rate", options.rate, "Poisson arrivals a second; without it callers wait for their answers");
-	app.add_option("--callers", options.callers, "Callers of a closed loop")->check(CLI::Range(1, 10000));
-	app.add_option("--seconds", options.seconds, "Length of the run")->check(CLI::Range(0.1, kMaxDurationSeconds));
-	app.add_option("--seed", options.seed, "Seed of the arrivals");
+	app.add_option("--model", options.model, "Model; without it, plain calls are sent");
+	app.add_option("--max-tokens", options.maxTokens, "Maximum number of tokens of an answer")
+		->check(CLI::Range(1, 4096));
+	app.add_option(
+		"--rate", options.rate,
+		"Poisson arrivals per second; without it, each caller waits for its answer before it sends again");
+	app.add_option("--callers", options.callers, "Number of callers of the closed loop")
+		->check(CLI::Range(1, 10000));
+	app.add_option("--seconds", options.seconds, "Duration of the run in seconds")
+		->check(CLI::Range(0.1, kMaxDurationSeconds));
+	app.add_option("--seed", options.seed, "Random seed of the arrival times");
 	CLI11_PARSE(app, _argc, _argv);
 	try
 	{
@@ -243,7 +248,7 @@
 			options.targets.push_back(readAddress(target, "--target", Failure::SettingInvalid));
 			if (!options.targets.back().host.starts_with("127."))
 			{
-				throw Error(Failure::SettingInvalid, "--target: only addresses in 127.0.0.0/8 are taken");
+				throw Error(Failure::SettingInvalid, "--target: only addresses in 127.0.0.0/8 are accepted");
 			}
 		}
 		Load load(options);
--- a/tools/standin.cpp
+++ b/tools/standin.cpp
@@ -35,10 +35,11 @@
 
 int main(int _argc, char** _argv)
 {
-	CLI::App app("Stand-ins of engines, services, store and VM list; tests only.", "beacongate-standin");
+	CLI::App app("Stand-ins for engines, services, the store, the VM list and the platform; tests only.",
+				 "beacongate-standin");
 	std::string kind;
 	std::string listen;
-	app.add_option("kind", kind, "What to stand in for")
+	app.add_option("kind", kind, "Service to simulate")
 		->required()
 		->check(CLI::IsMember({"engine", "service", "store", "cloud", "platform"}));
 	app.add_option("--listen", listen, "Address")->required();
