--- a/tests/faultproxytest.cpp
+++ b/tests/faultproxytest.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 /// @returns a loopback address derived from the process id, so that concurrent tests do not share ports.
-std::string ownHost()
+std::string testHost()
 {
 	const auto pid = static_cast<unsigned>(getpid());
 	return "127." + std::to_string(1 + pid / 250 % 250) + "." + std::to_string(pid % 250) + ".1";
@@ -28,7 +28,7 @@
 	sockaddr_in address{};
 	address.sin_family = AF_INET;
 	address.sin_port = htons(_port);
-	inet_pton(AF_INET, ownHost().c_str(), &address.sin_addr);
+	inet_pton(AF_INET, testHost().c_str(), &address.sin_addr);
 	return address;
 }
 } // namespace
@@ -43,7 +43,7 @@
 	sockaddr_in address = loopback(kTarget);
 	ASSERT_EQ(bind(listener, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
 	ASSERT_EQ(listen(listener, 1), 0);
-	soak::FaultProxy proxy({ownHost(), kProxy}, {ownHost(), kTarget});
+	soak::FaultProxy proxy({testHost(), kProxy}, {testHost(), kTarget});
 	const int caller = socket(AF_INET, SOCK_STREAM, 0);
 	address = loopback(kProxy);
 	ASSERT_EQ(connect(caller, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
@@ -53,14 +53,14 @@
 	std::this_thread::sleep_for(std::chrono::milliseconds(50));
 	proxy.setFault(soak::LinkFault::None);
 	ASSERT_EQ(send(target, "b", 1, 0), 1);
-	std::string heard;
-	while (heard.size() < 2)
+	std::string received;
+	while (received.size() < 2)
 	{
 		char byte = 0;
 		ASSERT_EQ(recv(caller, &byte, 1, 0), 1);
-		heard += byte;
+		received += byte;
 	}
-	EXPECT_EQ(heard, "ab");
+	EXPECT_EQ(received, "ab");
 	close(caller);
 	close(target);
 	close(listener);
--- a/tests/soakanswerstest.cpp
+++ b/tests/soakanswerstest.cpp
@@ -15,12 +15,12 @@
 
 TEST(SoakAnswers, seed1)
 {
-	keepsPromises({soak::SoakProfile::Answers, 1, 3, 12, kSpan});
+	expectPromisesKept({soak::SoakProfile::Answers, 1, 3, 12, kSpan});
 }
 
 TEST(SoakAnswers, seed2WithManyGateways)
 {
-	keepsPromises({soak::SoakProfile::Answers, 2, 20, 40, kSpan});
+	expectPromisesKept({soak::SoakProfile::Answers, 2, 20, 40, kSpan});
 }
 
 } // namespace beacongate::test
--- a/tests/soakbacklogtest.cpp
+++ b/tests/soakbacklogtest.cpp
@@ -17,7 +17,7 @@
 {
 TEST(SoakBacklog, seed411)
 {
-	keepsPromises({soak::SoakProfile::Quotas, 411, 8, 8, 20 * kSecond}, SoakPromises::ServedBelowLimit);
+	expectPromisesKept({soak::SoakProfile::Quotas, 411, 8, 8, 20 * kSecond}, SoakPromises::ServedBelowLimit);
 }
 
 } // namespace beacongate::test
--- a/tests/soakbelowlimittest.cpp
+++ b/tests/soakbelowlimittest.cpp
@@ -15,32 +15,33 @@
 {
 constexpr Micros kSpan = 25 * kSecond;
 
-void servesBelowLimits(std::uint64_t _seed, unsigned _gateways, unsigned _callers)
+void expectServedBelowLimits(std::uint64_t _seed, unsigned _gateways, unsigned _callers)
 {
-	keepsPromises({soak::SoakProfile::Quotas, _seed, _gateways, _callers, kSpan}, SoakPromises::ServedBelowLimit);
+	expectPromisesKept({soak::SoakProfile::Quotas, _seed, _gateways, _callers, kSpan},
+					   SoakPromises::ServedBelowLimit);
 }
 } // namespace
 
 TEST(SoakBelowLimit, seed1)
 {
-	servesBelowLimits(1, 8, 8);
+	expectServedBelowLimits(1, 8, 8);
 }
 
 TEST(SoakBelowLimit, seed2)
 {
-	servesBelowLimits(2, 40, 16);
+	expectServedBelowLimits(2, 40, 16);
 }
 
 // Guards against refusals of 62 of 445 requests of one team and 70 of 1,205 of all teams.
 TEST(SoakBelowLimit, seed101)
 {
-	servesBelowLimits(101, 18, 8);
+	expectServedBelowLimits(101, 18, 8);
 }
 
 // Guards against refusals of 49 of 584 requests of one team and 77 of 916 of all teams.
 TEST(SoakBelowLimit, seed102)
 {
-	servesBelowLimits(102, 30, 8);
+	expectServedBelowLimits(102, 30, 8);
 }
 
 } // namespace beacongate::test
--- a/tests/soakcheckertest.cpp
+++ b/tests/soakcheckertest.cpp
@@ -27,14 +27,14 @@
 	request.sent = _sent;
 	request.ended = _sent + 50 * kMillisecond;
 	request.status = 200;
-	request.whole = true;
-	request.right = true;
+	request.complete = true;
+	request.correct = true;
 	request.connected = true;
 	return request;
 }
 
 /// @returns the data of a soak in which all promises are kept.
-Observations sound()
+Observations healthy()
 {
 	Observations seen;
 	seen.keys = {{"k1", 0, kNever}};
@@ -58,45 +58,45 @@
 }
 } // namespace
 
-TEST(SoakChecker, findsNothingWhereAllIsKept)
+TEST(SoakChecker, findsNothingIfAllPromisesAreKept)
 {
-	EXPECT_TRUE(check(sound()).empty());
+	EXPECT_TRUE(check(healthy()).empty());
 }
 
-TEST(SoakChecker, seesAnAnswerThatIsNotTheRequestsOwn)
+TEST(SoakChecker, reportsAnAnswerOfAnotherRequest)
 {
-	Observations seen = sound();
-	seen.requests[3].right = false;
+	Observations seen = healthy();
+	seen.requests[3].correct = false;
 	EXPECT_EQ(countOf(seen, Promise::OwnWholeAnswer), 1u);
-	seen.requests[3].whole = false; // An incomplete answer is no success.
+	seen.requests[3].complete = false; // An incomplete answer is no success.
 	EXPECT_EQ(countOf(seen, Promise::OwnWholeAnswer), 0u);
 }
 
-TEST(SoakChecker, seesASecondRun)
+TEST(SoakChecker, reportsASecondRun)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.runs.push_back({"r5", "w2", 20 * kSecond});
 	EXPECT_EQ(countOf(seen, Promise::AtMostOnce), 1u);
 	seen.requests[5].kind = RequestKind::StreamAgain;
 	EXPECT_EQ(countOf(seen, Promise::AtMostOnce), 0u);
 }
 
-TEST(SoakChecker, seesARunThatWasSaidNotToBe)
+TEST(SoakChecker, reportsARunOfARequestAnsweredAsNotRun)
 {
 	for (const unsigned status : {408u, 421u, 429u, 503u})
 	{
-		Observations seen = sound();
+		Observations seen = healthy();
 		seen.requests[5].status = status;
 		EXPECT_EQ(countOf(seen, Promise::NotRun), 1u) << status;
 	}
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.requests[5].status = 504;
 	EXPECT_EQ(countOf(seen, Promise::NotRun), 0u);
 }
 
-TEST(SoakChecker, seesWorkForABackendThatLeftUnlessItsGatewayWasDisturbed)
+TEST(SoakChecker, reportsWorkForALeavingBackendUnlessItsGatewayWasDisturbed)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.departures = {{"w1", 66 * kSecond}};
 	EXPECT_EQ(countOf(seen, Promise::NoWorkForLeaving), 5u);
 	seen.disruptions = {{"backend", 65 * kSecond, 70 * kSecond, std::nullopt, true}};
@@ -107,24 +107,24 @@
 	EXPECT_EQ(countOf(seen, Promise::NoWorkForLeaving), 5u);
 }
 
-TEST(SoakChecker, seesARequestThatAPlannedStopCut)
+TEST(SoakChecker, reportsARequestAbortedByAPlannedStop)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	const Micros stop = seen.requests[20].sent - kSecond;
 	seen.stops = {{0, 1, stop, stop + 4 * kSecond}};
 	EXPECT_EQ(countOf(seen, Promise::PlannedStopCuts), 0u);
-	seen.requests[20].whole = false;
+	seen.requests[20].complete = false;
 	EXPECT_EQ(countOf(seen, Promise::PlannedStopCuts), 1u);
 	seen.requests[20].start = 2; // Another process accepted the request.
 	EXPECT_EQ(countOf(seen, Promise::PlannedStopCuts), 0u);
 }
 
-TEST(SoakChecker, seesAConfigurationThatIsNotInForceOrGoesBack)
+TEST(SoakChecker, reportsAConfigurationThatIsNotInForceOrReverts)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.requests[40].status = 401;
 	EXPECT_EQ(countOf(seen, Promise::ConfigInForce), 1u);
-	seen = sound();
+	seen = healthy();
 	seen.keys = {{"k1", 0, 30 * kSecond}};
 	seen.requests.resize(44); // Sent 2 s after the removal at the latest.
 	seen.runs.resize(44);
@@ -135,9 +135,9 @@
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 3u);
 }
 
-TEST(SoakChecker, seesAGatewayThatTookANewerKeyAndGoesBack)
+TEST(SoakChecker, reportsAGatewayThatAcceptedANewerKeyAndReverts)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.keys = {{"k1", 0, 30 * kSecond}, {"k2", 30 * kSecond, kNever}};
 	seen.requests.resize(44);
 	seen.runs.resize(44);
@@ -148,11 +148,11 @@
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 0u);
 }
 
-TEST(SoakChecker, aGatewayThatIsBehindMayRefuseAKeyBeforeItTakesIt)
+TEST(SoakChecker, acceptsThatALaggingGatewayRefusesAKeyBeforeItAcceptsIt)
 {
 	// k1 was in force only from 28 s to 30 s. The gateway receives the version that added it at 31 s, and then the
 	// one that removed it. It never returns to an older version.
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.keys = {{"k0", 0, kNever}, {"k1", 28 * kSecond, 30 * kSecond}};
 	seen.requests.resize(44);
 	seen.runs.resize(44);
@@ -169,20 +169,20 @@
 	EXPECT_EQ(countOf(seen, Promise::ConfigNeverBack), 1u);
 }
 
-TEST(SoakChecker, seesARemovedKeyThatStillRuns)
+TEST(SoakChecker, reportsARemovedKeyThatStillRuns)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.keys = {{"k1", 0, 30 * kSecond}};
 	seen.disruptions = {{"store", 0, kNever, std::nullopt, false}}; // Faults of the store exempt no gateway.
 	EXPECT_GT(countOf(seen, Promise::RevocationInForce), 50u);
 }
 
-TEST(SoakChecker, seesReportsThatDifferAndFencesThatFall)
+TEST(SoakChecker, reportsDifferingUsageReportsAndDecreasingFences)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.reports[1].counts = "{\"t\":1}";
 	EXPECT_EQ(countOf(seen, Promise::OneReportAWindow), 1u);
-	seen = sound();
+	seen = healthy();
 	seen.reports[1].fence = 1;
 	EXPECT_EQ(countOf(seen, Promise::OneHolder), 1u);
 	seen.reports.push_back({"3", "{}", "g1", 1});
@@ -195,7 +195,7 @@
 /// of requests each second.
 Observations limited(unsigned _perSecond)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.limits = {{"small", 10.0, 10.0, false, 0.0, 0, kNever}};
 	for (unsigned number = 0; number < 30 * _perSecond; ++number)
 	{
@@ -210,14 +210,14 @@
 }
 } // namespace
 
-TEST(SoakChecker, seesATeamThatRunsMoreThanItsLimitInAnyWindow)
+TEST(SoakChecker, reportsATeamThatRunsMoreThanItsLimitInAnyWindow)
 {
 	EXPECT_EQ(countOf(limited(10), Promise::QuotaKept), 0u);
 	EXPECT_EQ(countOf(limited(12), Promise::QuotaKept), 0u) << "96 of 99 in 8 s";
 	EXPECT_EQ(countOf(limited(13), Promise::QuotaKept), 1u) << "104 of 99 in 8 s";
 }
 
-TEST(SoakChecker, countsFurtherTriesAndTokens)
+TEST(SoakChecker, countsRetriesAndTokens)
 {
 	Observations seen = limited(12);
 	for (int number = 100; number < 110; ++number)
@@ -235,7 +235,7 @@
 	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 1u);
 }
 
-TEST(SoakChecker, aLowerLimitCountsOnceItIsInForceEverywhere)
+TEST(SoakChecker, appliesALowerLimitOnceItIsInForceEverywhere)
 {
 	Observations seen = limited(10);
 	seen.limits[0].until = 30 * kSecond;
@@ -264,7 +264,7 @@
 	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 0u) << "that gateway may not know of the change";
 }
 
-TEST(SoakChecker, seesATeamThatIsRefusedBelowItsLimit)
+TEST(SoakChecker, reportsATeamRefusedBelowItsLimit)
 {
 	Observations seen = limited(5);
 	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 0u);
@@ -284,23 +284,23 @@
 	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 0u) << "it asks for more than its limit";
 }
 
-TEST(SoakChecker, seesThatNothingIsServedAfterwardsAndThatProcessesEnd)
+TEST(SoakChecker, reportsUnservedRequestsAfterwardsAndEndedProcesses)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	for (ObservedRequest& request : seen.requests)
 	{
 		request.status = request.sent > seen.settled ? 503 : 200;
 		request.kind = RequestKind::Safe;
 	}
 	EXPECT_EQ(countOf(seen, Promise::ServesAgain), 1u);
-	seen = sound();
-	seen.unaskedEnds = {"g1"};
+	seen = healthy();
+	seen.unexpectedExits = {"g1"};
 	EXPECT_EQ(countOf(seen, Promise::ProcessLives), 1u);
 }
 
-TEST(SoakChecker, seesTooManyRequestsInABackoff)
+TEST(SoakChecker, reportsTooManyRequestsInABackoff)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.arrivals = {{"r1", "w1", 20 * kSecond, 3 * kSecond},
 					 {"r2", "w1", 20400 * kMillisecond, 0},
 					 {"r3", "w1", 21 * kSecond, 0},
@@ -317,11 +317,11 @@
 	EXPECT_EQ(countOf(seen, Promise::BackoffKept), 0u);
 }
 
-TEST(SoakChecker, seesWorkForABackendThatSaidInAnAnswerThatItLeaves)
+TEST(SoakChecker, reportsWorkForABackendThatAnnouncedItsDepartureInAnAnswer)
 {
-	Observations seen = sound();
+	Observations seen = healthy();
 	seen.requests[10].backend = "w1";
-	seen.requests[10].saysLeaving = true;
+	seen.requests[10].announcesLeaving = true;
 	const Micros heard = seen.requests[10].ended;
 	seen.arrivals = {{"r14", "w1", seen.requests[14].sent, 0}, {"r20", "w1", seen.requests[20].sent, 0}};
 	ASSERT_LT(seen.requests[14].sent, heard + seen.bounds.drain);
--- a/tests/soakheldrequesttest.cpp
+++ b/tests/soakheldrequesttest.cpp
@@ -15,7 +15,7 @@
 {
 TEST(SoakHeldRequest, seed418)
 {
-	keepsPromises({soak::SoakProfile::Quotas, 418, 12, 8, 20 * kSecond}, SoakPromises::ButServedBelowLimit);
+	expectPromisesKept({soak::SoakProfile::Quotas, 418, 12, 8, 20 * kSecond}, SoakPromises::AllButServedBelowLimit);
 }
 
 } // namespace beacongate::test
--- a/tests/soakhotonsettest.cpp
+++ b/tests/soakhotonsettest.cpp
@@ -17,30 +17,30 @@
 constexpr Micros kSpan = 20 * kSecond;
 constexpr unsigned kCallers = 8;
 
-void keepsLimits(std::uint64_t _seed, unsigned _gateways)
+void expectLimitsKept(std::uint64_t _seed, unsigned _gateways)
 {
-	keepsPromises({soak::SoakProfile::Quotas, _seed, _gateways, kCallers, kSpan},
-				  SoakPromises::ButServedBelowLimit);
+	expectPromisesKept({soak::SoakProfile::Quotas, _seed, _gateways, kCallers, kSpan},
+					   SoakPromises::AllButServedBelowLimit);
 }
 } // namespace
 
 // Guards against 417,340 tokens in 8 s where 396,000 are allowed.
 TEST(SoakHotOnset, seed202)
 {
-	keepsLimits(202, 30);
+	expectLimitsKept(202, 30);
 }
 
 // Guards against 478,127 tokens where 396,000 are allowed: 320 requests ran in a second with a limit of 100, when
 // 15 of 30 gateways resumed after a stall.
 TEST(SoakHotOnset, seed206)
 {
-	keepsLimits(206, 30);
+	expectLimitsKept(206, 30);
 }
 
 // Guards against 416,514 tokens where 396,000 are allowed.
 TEST(SoakHotOnset, seed211)
 {
-	keepsLimits(211, 42);
+	expectLimitsKept(211, 42);
 }
 
 // Guards against 667,527 tokens where 396,000 are allowed: all gateways resumed after 1.4 s with a full bucket and
@@ -48,13 +48,13 @@
 // limit of 100 a second.
 TEST(SoakHotOnset, seed218)
 {
-	keepsLimits(218, 30);
+	expectLimitsKept(218, 30);
 }
 
 // Guards against 398,296 tokens where 396,000 are allowed.
 TEST(SoakHotOnset, seed223)
 {
-	keepsLimits(223, 42);
+	expectLimitsKept(223, 42);
 }
 
 } // namespace beacongate::test
--- a/tests/soakloweredtest.cpp
+++ b/tests/soakloweredtest.cpp
@@ -18,13 +18,13 @@
 // Guards against a team with a lowered limit of 4.2 requests a second running 45 in 8 s where 41.58 are allowed.
 TEST(SoakLowered, twelveGateways)
 {
-	keepsPromises({soak::SoakProfile::LoweredQuotas, 3, 12, 8, kSpan});
+	expectPromisesKept({soak::SoakProfile::LoweredQuotas, 3, 12, 8, kSpan});
 }
 
 // Guards against a team with a lowered limit of 2.4 requests a second running 35 in 8 s where 23.76 are allowed.
 TEST(SoakLowered, seventySevenGateways)
 {
-	keepsPromises({soak::SoakProfile::LoweredQuotas, 7, 77, 8, kSpan});
+	expectPromisesKept({soak::SoakProfile::LoweredQuotas, 7, 77, 8, kSpan});
 }
 
 } // namespace beacongate::test
--- a/tests/soakquotatest.cpp
+++ b/tests/soakquotatest.cpp
@@ -21,14 +21,14 @@
 // their requests while they asked for less than their limits.
 TEST(SoakQuotas, seed1)
 {
-	keepsPromises({soak::SoakProfile::Quotas, 1, 8, 8, kSpan}, SoakPromises::ButServedBelowLimit);
+	expectPromisesKept({soak::SoakProfile::Quotas, 1, 8, 8, kSpan}, SoakPromises::AllButServedBelowLimit);
 }
 
 // Guards against 620 requests where 594 are allowed, and refusals of 57 of 497, 59 of 920 and 8 of 35 requests of
 // teams below their limits.
 TEST(SoakQuotas, seed2WithManyGateways)
 {
-	keepsPromises({soak::SoakProfile::Quotas, 2, 40, 16, kSpan}, SoakPromises::ButServedBelowLimit);
+	expectPromisesKept({soak::SoakProfile::Quotas, 2, 40, 16, kSpan}, SoakPromises::AllButServedBelowLimit);
 }
 
 } // namespace beacongate::test
--- a/tests/soakrun.h
+++ b/tests/soakrun.h
@@ -33,12 +33,12 @@
 {
 	All,
 	/// All promises except Promise::ServedBelowLimit, which soakbelowlimittest checks.
-	ButServedBelowLimit,
+	AllButServedBelowLimit,
 	ServedBelowLimit, ///< Only Promise::ServedBelowLimit.
 };
 
 /// Adds a test failure for each broken promise and keeps the logs of a failed seed.
-inline void keepsPromises(const SoakCase& _case, SoakPromises _asked = SoakPromises::All)
+inline void expectPromisesKept(const SoakCase& _case, SoakPromises _promises = SoakPromises::All)
 {
 	soak::SoakOptions options;
 	options.profile = _case.profile;
@@ -57,7 +57,7 @@
 	for (const soak::Finding& finding : soak::check(seen))
 	{
 		const bool below = finding.promise == soak::Promise::ServedBelowLimit;
-		if (_asked != SoakPromises::All && below != (_asked == SoakPromises::ServedBelowLimit))
+		if (_promises != SoakPromises::All && below != (_promises == SoakPromises::ServedBelowLimit))
 		{
 			continue;
 		}
--- a/tests/soaktest.cpp
+++ b/tests/soaktest.cpp
@@ -10,18 +10,18 @@
 {
 TEST(Soak, aShortRunKeepsThePromises)
 {
-	keepsPromises({soak::SoakProfile::Mixed, 20261202, 3, 6, 15 * kSecond});
+	expectPromisesKept({soak::SoakProfile::Mixed, 20261202, 3, 6, 15 * kSecond});
 }
 
 // Guards against the soak's proxy reordering delayed bytes when a delay ends (FaultProxy.keepsOrderWhenDelayEnds).
 TEST(Soak, seed510)
 {
-	keepsPromises({soak::SoakProfile::Mixed, 510, 5});
+	expectPromisesKept({soak::SoakProfile::Mixed, 510, 5});
 }
 
 TEST(Soak, seed514)
 {
-	keepsPromises({soak::SoakProfile::Mixed, 514, 5});
+	expectPromisesKept({soak::SoakProfile::Mixed, 514, 5});
 }
 
 } // namespace beacongate::test
--- a/tests/soakupgradetest.cpp
+++ b/tests/soakupgradetest.cpp
@@ -15,17 +15,18 @@
 namespace
 {
 constexpr Micros kSpan = 20 * kSecond;
-constexpr const char* kLater = "beacongate-gateway-later";
+constexpr const char* kLaterProgram = "beacongate-gateway-later";
 } // namespace
 
 TEST(SoakUpgrade, seed1)
 {
-	keepsPromises({soak::SoakProfile::Mixed, 1, 6, 12, kSpan, kLater});
+	expectPromisesKept({soak::SoakProfile::Mixed, 1, 6, 12, kSpan, kLaterProgram});
 }
 
 TEST(SoakUpgrade, seed501KeepsLimits)
 {
-	keepsPromises({soak::SoakProfile::Quotas, 501, 12, 24, kSpan, kLater}, SoakPromises::ButServedBelowLimit);
+	expectPromisesKept({soak::SoakProfile::Quotas, 501, 12, 24, kSpan, kLaterProgram},
+					   SoakPromises::AllButServedBelowLimit);
 }
 
 } // namespace beacongate::test
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -36,15 +36,15 @@
 	const std::vector<soak::Finding> findings = soak::check(seen);
 	const auto served = std::count_if(seen.requests.begin(), seen.requests.end(),
 									  [](const soak::ObservedRequest& _request)
-									  { return _request.status == 200 && _request.whole; });
+									  { return _request.status == 200 && _request.complete; });
 	std::cout << "seed " << _options.seed << ": " << seen.requests.size() << " requests, " << served << " served, "
 			  << seen.disruptions.size() << " disruptions, " << seen.stops.size() << " stops, " << seen.replaced
 			  << " replaced by another build, " << seen.departures.size() << " departures, " << seen.keys.size()
 			  << " configurations, " << seen.reports.size()
 			  << " reports: " << (findings.empty() ? "kept" : "BROKEN") << std::endl;
-	for (const soak::TeamUse& use : soak::useOf(seen))
+	for (const soak::TeamUsage& use : soak::usageOf(seen))
 	{
-		std::cout << "  team " << use.team << ": " << use.most << " of " << use.tolerated
+		std::cout << "  team " << use.team << ": " << use.peak << " of " << use.tolerated
 				  << " in 8 s at the most, asked " << use.asked << ", refused " << use.refused
 				  << ", below its limit " << use.refusedBelow << " of " << use.askedBelow << std::endl;
 	}
@@ -87,8 +87,7 @@
 		   "Which faults are drawn: mixed, departures, narrow-departures, answers, quotas or lowered-quotas "
 		   "[mixed]")
 		->transform(CLI::CheckedTransformer(profiles, CLI::ignore_case));
-	app.add_option("--gateways", options.gateways, "Gateways [3]")
-		->check(CLI::Range(1u, soak::Soak::kMostGateways));
+	app.add_option("--gateways", options.gateways, "Gateways [3]")->check(CLI::Range(1u, soak::Soak::kMaxGateways));
 	app.add_option("--callers", options.callers, "Callers [6]")->check(CLI::Range(1u, 64u));
 	app.add_option("--seconds", seconds, "Span in which faults are injected [20]")->check(CLI::Range(1.0, 3600.0));
 	app.add_option("--gateway-program", options.program, "Path of beacongate-gateway")->required();
--- a/tools/soak/answercheck.cpp
+++ b/tools/soak/answercheck.cpp
@@ -21,7 +21,7 @@
 };
 
 /// A gateway and a backend server.
-using Pair = std::pair<unsigned, std::string>;
+using GatewayAndBackend = std::pair<unsigned, std::string>;
 
 std::string millis(Micros _span)
 {
@@ -29,7 +29,7 @@
 }
 
 /// @returns true if a gateway's process was not killed, stopped or paused in a span.
-bool ran(const Observations& _seen, unsigned _gateway, Micros _from, Micros _until)
+bool ranThroughout(const Observations& _seen, unsigned _gateway, Micros _from, Micros _until)
 {
 	return std::none_of(_seen.disruptions.begin(), _seen.disruptions.end(),
 						[&](const Disruption& _disruption)
@@ -40,14 +40,14 @@
 						});
 }
 
-std::map<Pair, std::vector<Arrival>> arrivalsByPair(const Observations& _seen)
+std::map<GatewayAndBackend, std::vector<Arrival>> arrivalsByPair(const Observations& _seen)
 {
 	std::unordered_map<std::string, const ObservedRequest*> requests;
 	for (const ObservedRequest& request : _seen.requests)
 	{
 		requests[request.id] = &request;
 	}
-	std::map<Pair, std::vector<Arrival>> arrivals;
+	std::map<GatewayAndBackend, std::vector<Arrival>> arrivals;
 	for (const ObservedArrival& arrival : _seen.arrivals)
 	{
 		const auto request = requests.find(arrival.id);
@@ -59,59 +59,61 @@
 	return arrivals;
 }
 
-void checkBackoffs(const Observations& _seen, const Pair& _pair, const std::vector<Arrival>& _arrivals,
+void checkBackoffs(const Observations& _seen, const GatewayAndBackend& _pair, const std::vector<Arrival>& _arrivals,
 				   std::vector<Finding>& _findings)
 {
-	for (const Arrival& asking : _arrivals)
+	for (const Arrival& backoff : _arrivals)
 	{
-		const Micros from = asking.seen->at + _seen.bounds.underWay;
-		const Micros until = asking.seen->at + asking.seen->backoffAsked;
-		const auto meanwhile =
+		const Micros from = backoff.seen->at + _seen.bounds.inFlightSpan;
+		const Micros until = backoff.seen->at + backoff.seen->backoffAsked;
+		const auto arrived =
 			std::count_if(_arrivals.begin(), _arrivals.end(),
 						  [&](const Arrival& _other) { return _other.seen->at > from && _other.seen->at < until; });
-		if (meanwhile > _seen.bounds.mostInBackoff && ran(_seen, _pair.first, asking.seen->at, until))
+		if (arrived > _seen.bounds.maxInBackoff && ranThroughout(_seen, _pair.first, backoff.seen->at, until))
 		{
 			_findings.push_back({Promise::BackoffKept, "backend " + _pair.second + " asked gateway " +
 														   std::to_string(_pair.first) + " for " +
-														   millis(asking.seen->backoffAsked) + " and got " +
-														   std::to_string(meanwhile) + " requests in that time"});
+														   millis(backoff.seen->backoffAsked) + " and got " +
+														   std::to_string(arrived) + " requests in that time"});
 		}
 	}
 }
 
 /// @returns when each process first forwarded an answer in which the backend server announced its departure.
-std::map<std::pair<Pair, std::uint64_t>, Micros> heardLeaving(const Observations& _seen)
+std::map<std::pair<GatewayAndBackend, std::uint64_t>, Micros> firstAnnouncements(const Observations& _seen)
 {
-	std::map<std::pair<Pair, std::uint64_t>, Micros> heard;
+	std::map<std::pair<GatewayAndBackend, std::uint64_t>, Micros> announced;
 	for (const ObservedRequest& request : _seen.requests)
 	{
-		if (request.saysLeaving && !request.backend.empty())
+		if (request.announcesLeaving && !request.backend.empty())
 		{
-			const std::pair<Pair, std::uint64_t> process{{request.gateway, request.backend}, request.start};
-			Micros& first = heard.try_emplace(process, request.ended).first->second;
+			const std::pair<GatewayAndBackend, std::uint64_t> process{{request.gateway, request.backend},
+																	  request.start};
+			Micros& first = announced.try_emplace(process, request.ended).first->second;
 			first = std::min(first, request.ended);
 		}
 	}
-	return heard;
+	return announced;
 }
 } // namespace
 
-void checkAnswersHeeded(const Observations& _seen, std::vector<Finding>& _findings)
+void checkAnswersFollowed(const Observations& _seen, std::vector<Finding>& _findings)
 {
-	const auto leaving = heardLeaving(_seen);
+	const auto leaving = firstAnnouncements(_seen);
 	for (const auto& [pair, arrivals] : arrivalsByPair(_seen))
 	{
 		checkBackoffs(_seen, pair, arrivals, _findings);
 		for (const Arrival& arrival : arrivals)
 		{
-			const auto heard = leaving.find({pair, arrival.request->start});
-			const bool late = heard != leaving.end() && arrival.request->sent > heard->second + _seen.bounds.drain;
-			if (late && ran(_seen, pair.first, heard->second, arrival.seen->at))
+			const auto announced = leaving.find({pair, arrival.request->start});
+			const bool late =
+				announced != leaving.end() && arrival.request->sent > announced->second + _seen.bounds.drain;
+			if (late && ranThroughout(_seen, pair.first, announced->second, arrival.seen->at))
 			{
-				_findings.push_back(
-					{Promise::LeavingHeard, "backend " + pair.second + " got " + arrival.seen->id + " " +
-												millis(arrival.request->sent - heard->second) + " after gateway " +
-												std::to_string(pair.first) + " had passed on that it leaves"});
+				_findings.push_back({Promise::LeavingHeard,
+									 "backend " + pair.second + " got " + arrival.seen->id + " " +
+										 millis(arrival.request->sent - announced->second) + " after gateway " +
+										 std::to_string(pair.first) + " had passed on that it leaves"});
 			}
 		}
 	}
--- a/tools/soak/answercheck.h
+++ b/tools/soak/answercheck.h
@@ -14,7 +14,7 @@
 /// Adds a finding for each backoff in which too many requests of its gateway arrived, and for each request that
 /// reached a backend server after an answer through the same process had announced its departure.
 /// @remarks A gateway that was killed, stopped or paused in that time is exempt; faults of the store exempt none.
-void checkAnswersHeeded(const Observations& _seen, std::vector<Finding>& _findings);
+void checkAnswersFollowed(const Observations& _seen, std::vector<Finding>& _findings);
 
 } // namespace beacongate::soak
 
--- a/tools/soak/caller.cpp
+++ b/tools/soak/caller.cpp
@@ -67,7 +67,7 @@
 	m_socket = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
 	const int connecting = connect(m_socket, reinterpret_cast<const sockaddr*>(&target), sizeof target);
 	int failed = connecting == 0 || errno == EINPROGRESS ? 0 : errno;
-	if (failed == 0 && !waitFor(m_socket, POLLOUT, monotonicNow() + kConnectSpan))
+	if (failed == 0 && !waitFor(m_socket, POLLOUT, monotonicNow() + kConnectTimeout))
 	{
 		failed = ETIMEDOUT;
 	}
@@ -122,7 +122,7 @@
 						platform::kDeadline + ": " + std::to_string(kDeadlineMillis) + "\r\n" + platform::kApiKey +
 						": " + _request.key + "\r\n";
 	bytes += hasBody ? "Content-Length: 4\r\n\r\nbody" : "\r\n";
-	const Micros until = monotonicNow() + kAnswerSpan;
+	const Micros until = monotonicNow() + kAnswerTimeout;
 	_request.connected = true;
 	const bool sent = sendAll(bytes, until);
 	_request.sent = monotonicNow();
@@ -131,7 +131,7 @@
 		readAnswer(_request, until);
 	}
 	_request.ended = monotonicNow();
-	if (!_request.whole)
+	if (!_request.complete)
 	{
 		close();
 	}
@@ -145,7 +145,7 @@
 	{
 		if (!waitFor(m_socket, POLLIN, _until))
 		{
-			_request.gaveUp = true;
+			_request.abandoned = true;
 			break;
 		}
 		char buffer[4096];
@@ -168,15 +168,15 @@
 	}
 	const MessageHead& head = parser.head();
 	_request.status = head.status;
-	_request.whole = parser.done();
+	_request.complete = parser.done();
 	const bool own = findHeader(head.headers, platform::kRequestId) == _request.id;
 	const bool stamped = !findHeader(head.headers, platform::kStamp).empty();
 	_request.backend = findHeader(head.headers, platform::kStamp);
-	_request.saysLeaving = findHeader(head.headers, platform::kLeaving) == "1";
-	_request.right = own && (head.status != kOk || (stamped && body == expectedBody(_request)));
+	_request.announcesLeaving = findHeader(head.headers, platform::kLeaving) == "1";
+	_request.correct = own && (head.status != kOk || (stamped && body == expectedBody(_request)));
 	// Bytes after the end of an answer belong to no request, which makes the answer wrong.
-	_request.right = _request.right && m_input.empty();
-	if (_request.whole && !head.keepAlive)
+	_request.correct = _request.correct && m_input.empty();
+	if (_request.complete && !head.keepAlive)
 	{
 		close();
 	}
--- a/tools/soak/caller.h
+++ b/tools/soak/caller.h
@@ -19,8 +19,8 @@
 {
 public:
 	/// Timeouts for establishing a connection and for receiving an answer.
-	static constexpr Micros kConnectSpan = 1 * kSecond;
-	static constexpr Micros kAnswerSpan = 5 * kSecond;
+	static constexpr Micros kConnectTimeout = 1 * kSecond;
+	static constexpr Micros kAnswerTimeout = 5 * kSecond;
 
 	explicit CallerConnection(const Address& _gateway);
 	~CallerConnection();
--- a/tools/soak/checker.cpp
+++ b/tools/soak/checker.cpp
@@ -20,10 +20,10 @@
 constexpr std::size_t kEnoughRequests = 10;
 /// Largest share of the requests of teams below their limits that may be refused over a whole run, disturbed
 /// gateways included.
-constexpr double kMostRefusedBelow = 0.05;
+constexpr double kMaxRefusedBelow = 0.05;
 /// The configuration version that removes a key adds another, and the two times are recorded one after the other.
 /// Times closer than this belong to one version, since two versions are always further apart.
-constexpr Micros kSameVersion = 10 * kMillisecond;
+constexpr Micros kSameVersionSpan = 10 * kMillisecond;
 
 bool promisesNotRun(unsigned _status)
 {
@@ -37,10 +37,10 @@
 }
 
 /// Indexes the recorded runs, requests and disruptions of a soak.
-class Evidence
+class RunIndex
 {
 public:
-	explicit Evidence(const Observations& _seen) : m_seen(_seen)
+	explicit RunIndex(const Observations& _seen) : m_seen(_seen)
 	{
 		for (const ObservedRun& run : _seen.runs)
 		{
@@ -61,7 +61,7 @@
 	}
 
 	/// @returns the request with an id, or nullptr.
-	const ObservedRequest* requestOf(const std::string& _id) const
+	const ObservedRequest* findRequest(const std::string& _id) const
 	{
 		const auto it = m_requests.find(_id);
 		return it == m_requests.end() ? nullptr : it->second;
@@ -69,14 +69,14 @@
 
 	/// @param[in] _backends True if faults of backend servers count as well.
 	/// @returns true if no disruption affected a gateway in a span.
-	bool calm(unsigned _gateway, Micros _from, Micros _until, bool _backends) const
+	bool undisturbed(unsigned _gateway, Micros _from, Micros _until, bool _backends) const
 	{
 		return std::none_of(m_seen.disruptions.begin(), m_seen.disruptions.end(),
 							[&](const Disruption& _disruption)
 							{
-								const bool here = !_disruption.gateway || *_disruption.gateway == _gateway;
-								const bool touches = here && (_backends || !_disruption.ofBackend);
-								return touches && _disruption.from <= _until && _disruption.until >= _from;
+								const bool ofGateway = !_disruption.gateway || *_disruption.gateway == _gateway;
+								const bool affects = ofGateway && (_backends || !_disruption.backendOnly);
+								return affects && _disruption.from <= _until && _disruption.until >= _from;
 							});
 	}
 
@@ -92,27 +92,28 @@
 {
 	std::size_t asked = 0;
 	std::size_t refused = 0;
-	for (const TeamUse& use : useOf(_seen))
+	for (const TeamUsage& use : usageOf(_seen))
 	{
-		if (use.most > use.tolerated)
+		if (use.peak > use.tolerated)
 		{
-			_findings.push_back({Promise::QuotaKept, "team " + use.team + " ran " + std::to_string(use.most) +
+			_findings.push_back({Promise::QuotaKept, "team " + use.team + " ran " + std::to_string(use.peak) +
 														 " of " + std::to_string(use.tolerated) +
-														 " in the window until " + millis(use.mostUntil)});
+														 " in the window until " + millis(use.peakUntil)});
 		}
-		if (!use.refusedInCalm.empty())
+		if (!use.refusedUndisturbed.empty())
 		{
 			_findings.push_back({Promise::ServedBelowLimit,
-								 "team " + use.team + " was refused " + std::to_string(use.refusedInCalm.size()) +
+								 "team " + use.team + " was refused " +
+									 std::to_string(use.refusedUndisturbed.size()) +
 									 " requests while it asked for less than its limit and nothing was disturbed, "
 									 "the first " +
-									 use.refusedInCalm.front()});
+									 use.refusedUndisturbed.front()});
 		}
 		asked += use.askedBelow;
 		refused += use.refusedBelow;
 	}
 	// A gateway that hears from no other one, since they are paused, grants no more than its equal share.
-	if (static_cast<double>(refused) > kMostRefusedBelow * static_cast<double>(asked))
+	if (static_cast<double>(refused) > kMaxRefusedBelow * static_cast<double>(asked))
 	{
 		_findings.push_back({Promise::ServedBelowLimit,
 							 "teams were refused " + std::to_string(refused) + " of " + std::to_string(asked) +
@@ -125,7 +126,7 @@
 	for (const ObservedRequest& request : _seen.requests)
 	{
 		const bool success = request.status >= kOk && request.status < 300;
-		if (success && request.whole && !request.right)
+		if (success && request.complete && !request.correct)
 		{
 			_findings.push_back(
 				{Promise::OwnWholeAnswer, "request " + request.id + " got another or a partial answer"});
@@ -133,11 +134,11 @@
 	}
 }
 
-void checkRuns(const Observations& _seen, const Evidence& _evidence, Findings& _findings)
+void checkRuns(const Observations& _seen, const RunIndex& _index, Findings& _findings)
 {
 	for (const ObservedRequest& request : _seen.requests)
 	{
-		const std::size_t runs = _evidence.runsOf(request.id).size();
+		const std::size_t runs = _index.runsOf(request.id).size();
 		if (!isRepeatable(request.kind) && runs > 1)
 		{
 			_findings.push_back(
@@ -151,22 +152,22 @@
 	}
 }
 
-void checkDepartures(const Observations& _seen, const Evidence& _evidence, Findings& _findings)
+void checkDepartures(const Observations& _seen, const RunIndex& _index, Findings& _findings)
 {
-	std::map<std::string, Micros> gone;
+	std::map<std::string, Micros> departed;
 	for (const Departure& departure : _seen.departures)
 	{
-		gone.emplace(departure.backend, departure.acknowledged);
+		departed.emplace(departure.backend, departure.acknowledged);
 	}
 	for (const ObservedRun& run : _seen.runs)
 	{
-		const auto left = gone.find(run.backend);
-		const ObservedRequest* request = _evidence.requestOf(run.id);
-		if (left == gone.end() || !request || run.began <= left->second + _seen.bounds.drain)
+		const auto left = departed.find(run.backend);
+		const ObservedRequest* request = _index.findRequest(run.id);
+		if (left == departed.end() || !request || run.began <= left->second + _seen.bounds.drain)
 		{
 			continue;
 		}
-		if (_evidence.calm(request->gateway, left->second - _seen.bounds.contact, run.began, false))
+		if (_index.undisturbed(request->gateway, left->second - _seen.bounds.contact, run.began, false))
 		{
 			_findings.push_back({Promise::NoWorkForLeaving, "backend " + run.backend + " got " + run.id + " " +
 																millis(run.began - left->second) +
@@ -175,18 +176,18 @@
 	}
 }
 
-void checkStops(const Observations& _seen, const Evidence& _evidence, Findings& _findings)
+void checkStops(const Observations& _seen, const RunIndex& _index, Findings& _findings)
 {
 	for (const PlannedStop& stop : _seen.stops)
 	{
 		for (const ObservedRequest& request : _seen.requests)
 		{
-			const bool taken = request.gateway == stop.gateway && request.start == stop.start &&
-							   request.ended >= stop.requested &&
-							   request.sent <= stop.requested + _seen.bounds.takeSpan;
-			const bool cut = request.connected && !request.gaveUp && !request.whole;
-			if (taken && cut &&
-				_evidence.calm(stop.gateway, request.sent - _seen.bounds.contact, request.ended, true))
+			const bool accepted = request.gateway == stop.gateway && request.start == stop.start &&
+								  request.ended >= stop.requested &&
+								  request.sent <= stop.requested + _seen.bounds.acceptSpan;
+			const bool cut = request.connected && !request.abandoned && !request.complete;
+			if (accepted && cut &&
+				_index.undisturbed(stop.gateway, request.sent - _seen.bounds.contact, request.ended, true))
 			{
 				_findings.push_back({Promise::PlannedStopCuts, "request " + request.id + " was cut " +
 																   millis(request.ended - stop.requested) +
@@ -196,7 +197,7 @@
 	}
 }
 
-void checkKey(const Observations& _seen, const Evidence& _evidence, const KeyLife& _key, Findings& _findings)
+void checkKey(const Observations& _seen, const RunIndex& _index, const KeyLifetime& _key, Findings& _findings)
 {
 	for (const ObservedRequest& request : _seen.requests)
 	{
@@ -206,13 +207,13 @@
 		}
 		const bool inForce = request.sent > _key.added + _seen.bounds.configApply && request.ended < _key.removed;
 		const bool wrong = inForce && request.status == kUnauthorized;
-		if (wrong && _evidence.calm(request.gateway, request.sent - _seen.bounds.contact, request.ended, false))
+		if (wrong && _index.undisturbed(request.gateway, request.sent - _seen.bounds.contact, request.ended, false))
 		{
 			_findings.push_back({Promise::ConfigInForce, "request " + request.id + ": key refused " +
 															 millis(request.sent - _key.added) +
 															 " after it was added"});
 		}
-		const auto& runs = _evidence.runsOf(request.id);
+		const auto& runs = _index.runsOf(request.id);
 		if (_key.removed != kNever && request.sent > _key.removed + _seen.bounds.revocation && !runs.empty())
 		{
 			_findings.push_back({Promise::RevocationInForce, "request " + request.id + " ran with a key removed " +
@@ -227,12 +228,12 @@
 /// @returns when each process was first known to have the configuration version that removed a key: it refused that
 /// key after it had run a request with it, or it ran a request with a key that this version or a later one added. A
 /// refusal alone may come from a version before the one that added the key.
-std::map<Process, Micros> sawRemoval(const Observations& _seen, const Evidence& _evidence, const KeyLife& _key)
+std::map<Process, Micros> removalSeenAt(const Observations& _seen, const RunIndex& _index, const KeyLifetime& _key)
 {
 	std::set<std::string> later;
-	for (const KeyLife& other : _seen.keys)
+	for (const KeyLifetime& other : _seen.keys)
 	{
-		if (other.added >= _key.removed - kSameVersion)
+		if (other.added >= _key.removed - kSameVersionSpan)
 		{
 			later.insert(other.key);
 		}
@@ -246,7 +247,7 @@
 	};
 	for (const ObservedRequest& request : _seen.requests)
 	{
-		const bool ran = !_evidence.runsOf(request.id).empty();
+		const bool ran = !_index.runsOf(request.id).empty();
 		if (ran && request.key == _key.key)
 		{
 			note(firstRun, request);
@@ -269,18 +270,19 @@
 	return seen;
 }
 
-void checkNeverBack(const Observations& _seen, const Evidence& _evidence, const KeyLife& _key, Findings& _findings)
+void checkRemovedKey(const Observations& _seen, const RunIndex& _index, const KeyLifetime& _key,
+					 Findings& _findings)
 {
 	if (_key.removed == kNever)
 	{
 		return;
 	}
-	const std::map<Process, Micros> seen = sawRemoval(_seen, _evidence, _key);
+	const std::map<Process, Micros> seen = removalSeenAt(_seen, _index, _key);
 	for (const ObservedRequest& request : _seen.requests)
 	{
 		const auto first = seen.find({request.gateway, request.start});
 		const bool again = request.key == _key.key && first != seen.end() && request.sent > first->second;
-		if (again && !_evidence.runsOf(request.id).empty())
+		if (again && !_index.runsOf(request.id).empty())
 		{
 			_findings.push_back(
 				{Promise::ConfigNeverBack,
@@ -319,10 +321,10 @@
 	{
 		// Refusals of teams with limits are checked by checkQuotas().
 		const bool unlimited = request.team.empty();
-		if (unlimited && request.sent >= _seen.settled && !request.gaveUp && request.status != kUnauthorized)
+		if (unlimited && request.sent >= _seen.settled && !request.abandoned && request.status != kUnauthorized)
 		{
 			++asked;
-			served += request.status == kOk && request.whole ? 1 : 0;
+			served += request.status == kOk && request.complete ? 1 : 0;
 		}
 	}
 	const bool enough = asked >= kEnoughRequests;
@@ -377,24 +379,24 @@
 
 std::vector<Finding> check(const Observations& _seen)
 {
-	const Evidence evidence(_seen);
+	const RunIndex index(_seen);
 	Findings findings;
 	checkAnswers(_seen, findings);
-	checkRuns(_seen, evidence, findings);
-	checkDepartures(_seen, evidence, findings);
-	checkStops(_seen, evidence, findings);
-	for (const KeyLife& key : _seen.keys)
+	checkRuns(_seen, index, findings);
+	checkDepartures(_seen, index, findings);
+	checkStops(_seen, index, findings);
+	for (const KeyLifetime& key : _seen.keys)
 	{
-		checkKey(_seen, evidence, key, findings);
-		checkNeverBack(_seen, evidence, key, findings);
+		checkKey(_seen, index, key, findings);
+		checkRemovedKey(_seen, index, key, findings);
 	}
 	checkReports(_seen, findings);
-	for (const std::string& name : _seen.unaskedEnds)
+	for (const std::string& name : _seen.unexpectedExits)
 	{
 		findings.push_back({Promise::ProcessLives, name});
 	}
 	checkRecovery(_seen, findings);
-	checkAnswersHeeded(_seen, findings);
+	checkAnswersFollowed(_seen, findings);
 	checkQuotas(_seen, findings);
 	return findings;
 }
--- a/tools/soak/faultproxy.cpp
+++ b/tools/soak/faultproxy.cpp
@@ -16,7 +16,7 @@
 
 namespace
 {
-constexpr Micros kConnectSpan = 1 * kSecond;
+constexpr Micros kConnectTimeout = 1 * kSecond;
 constexpr Micros kUserTimeout = 10 * kSecond;
 } // namespace
 
@@ -66,7 +66,7 @@
 		[&]
 		{
 			m_delay = _delay;
-			const bool lostBytes = m_fault == LinkFault::Silent || m_fault == LinkFault::CutsAnswers;
+			const bool lostBytes = m_fault == LinkFault::Silent || m_fault == LinkFault::DropsAnswers;
 			m_fault = _fault;
 			if (_fault != LinkFault::Resets && !lostBytes)
 			{
@@ -99,7 +99,7 @@
 			{
 				const auto link = std::make_shared<Link>();
 				link->caller = std::move(caller);
-				TcpConnection::open(m_loop.context(), m_target, kConnectSpan, kUserTimeout,
+				TcpConnection::open(m_loop.context(), m_target, kConnectTimeout, kUserTimeout,
 									[this, link](TcpConnection::Ptr _target)
 									{
 										if (!_target)
@@ -108,14 +108,14 @@
 											return;
 										}
 										link->target = std::move(_target);
-										join(link);
+										startForwarding(link);
 									});
 			}
 			accept();
 		});
 }
 
-void FaultProxy::join(const LinkPtr& _link)
+void FaultProxy::startForwarding(const LinkPtr& _link)
 {
 	m_links.push_back(_link);
 	for (const bool fromCaller : {true, false})
@@ -123,26 +123,26 @@
 		ConnectionHandlers handlers;
 		handlers.onBytes = [this, _link, fromCaller](std::string_view _bytes)
 		{
-			pass(_link, fromCaller, _bytes);
+			forward(_link, fromCaller, _bytes);
 		};
-		handlers.onEnd = [this, _link](ConnectionEnd _how)
+		handlers.onEnd = [this, _link](ConnectionEnd _reason)
 		{
-			end(_link, _how);
+			end(_link, _reason);
 		};
 		(fromCaller ? _link->caller : _link->target)->start(std::move(handlers));
 	}
 }
 
-void FaultProxy::pass(const LinkPtr& _link, bool _fromCaller, std::string_view _bytes)
+void FaultProxy::forward(const LinkPtr& _link, bool _fromCaller, std::string_view _bytes)
 {
-	const bool dropped = m_fault == LinkFault::Silent || (m_fault == LinkFault::CutsAnswers && !_fromCaller);
+	const bool dropped = m_fault == LinkFault::Silent || (m_fault == LinkFault::DropsAnswers && !_fromCaller);
 	if (dropped)
 	{
 		return;
 	}
-	std::deque<std::string>& waiting = _fromCaller ? _link->toTarget : _link->toCaller;
-	const bool delayed = m_fault == LinkFault::Delays || !waiting.empty();
-	waiting.emplace_back(_bytes);
+	std::deque<std::string>& pending = _fromCaller ? _link->toTarget : _link->toCaller;
+	const bool delayed = m_fault == LinkFault::Delays || !pending.empty();
+	pending.emplace_back(_bytes);
 	if (!delayed)
 	{
 		deliverNext(_link, _fromCaller);
@@ -155,16 +155,16 @@
 
 void FaultProxy::deliverNext(const LinkPtr& _link, bool _fromCaller)
 {
-	std::deque<std::string>& waiting = _fromCaller ? _link->toTarget : _link->toCaller;
-	const std::string bytes = std::move(waiting.front());
-	waiting.pop_front();
+	std::deque<std::string>& pending = _fromCaller ? _link->toTarget : _link->toCaller;
+	const std::string bytes = std::move(pending.front());
+	pending.pop_front();
 	if (!_link->ended)
 	{
 		(_fromCaller ? _link->target : _link->caller)->send(bytes);
 	}
 }
 
-void FaultProxy::end(const LinkPtr& _link, ConnectionEnd _how)
+void FaultProxy::end(const LinkPtr& _link, ConnectionEnd _reason)
 {
 	if (_link->ended)
 	{
@@ -174,7 +174,7 @@
 	m_links.remove(_link);
 	for (const TcpConnection::Ptr& connection : {_link->caller, _link->target})
 	{
-		if (_how == ConnectionEnd::Closed)
+		if (_reason == ConnectionEnd::Closed)
 		{
 			connection->closeAfterSending();
 		}
--- a/tools/soak/faultproxy.h
+++ b/tools/soak/faultproxy.h
@@ -19,10 +19,10 @@
 enum class LinkFault
 {
 	None,
-	Delays,      ///< Each chunk of data is delayed.
-	Resets,      ///< Open and new connections are reset.
-	Silent,      ///< All data is dropped; connections stay open.
-	CutsAnswers, ///< Data from the caller passes; data from the target is dropped.
+	Delays,       ///< Each chunk of data is delayed.
+	Resets,       ///< Open and new connections are reset.
+	Silent,       ///< All data is dropped; connections stay open.
+	DropsAnswers, ///< Data from the caller passes; data from the target is dropped.
 };
 
 /// Forwards connections to one address.
@@ -46,10 +46,10 @@
 	using LinkPtr = std::shared_ptr<Link>;
 
 	void accept();
-	void join(const LinkPtr& _link);
-	void pass(const LinkPtr& _link, bool _fromCaller, std::string_view _bytes);
+	void startForwarding(const LinkPtr& _link);
+	void forward(const LinkPtr& _link, bool _fromCaller, std::string_view _bytes);
 	void deliverNext(const LinkPtr& _link, bool _fromCaller);
-	void end(const LinkPtr& _link, ConnectionEnd _how);
+	void end(const LinkPtr& _link, ConnectionEnd _reason);
 
 	Address m_target;
 	standin::LoopThread m_loop;
--- a/tools/soak/observations.h
+++ b/tools/soak/observations.h
@@ -42,15 +42,15 @@
 	std::uint64_t start = 0; ///< Ordinal of the start of the gateway's process that took the request.
 	Micros sent = 0;         ///< When its last byte was written to the socket.
 	Micros ended = 0;
-	unsigned status = 0;      ///< 0 if no response head was received.
-	bool whole = false;       ///< The answer was complete according to its framing.
-	bool right = false;       ///< The answer is the one that the backend server generated for this request.
-	bool connected = false;   ///< The connection was established.
-	bool gaveUp = false;      ///< The caller closed the connection before the answer was complete.
-	std::string backend;      ///< Backend server that answered; empty if the gateway itself generated the answer.
-	bool saysLeaving = false; ///< The answer announces that the backend server accepts no new work.
-	std::string team;         ///< Team with a limit; empty for the team without one.
-	double tokens = 0.0;      ///< Tokens that the request declares.
+	unsigned status = 0;    ///< 0 if no response head was received.
+	bool complete = false;  ///< The answer was complete according to its framing.
+	bool correct = false;   ///< The answer is the one that the backend server generated for this request.
+	bool connected = false; ///< The connection was established.
+	bool abandoned = false; ///< The caller closed the connection before the answer was complete.
+	std::string backend;    ///< Backend server that answered; empty if the gateway itself generated the answer.
+	bool announcesLeaving = false; ///< The answer announces that the backend server accepts no new work.
+	std::string team;              ///< Team with a limit; empty for the team without one.
+	double tokens = 0.0;           ///< Tokens that the request declares.
 };
 
 /// A team's limit and the time in which it was in force, according to the store's acknowledgements.
@@ -90,7 +90,7 @@
 	Micros from = 0;
 	Micros until = kNever;
 	std::optional<unsigned> gateway; ///< Empty if all gateways are affected.
-	bool ofBackend = false;          ///< Only a backend server is at fault; gateways and store are healthy.
+	bool backendOnly = false;        ///< Only a backend server is at fault; gateways and store are healthy.
 };
 
 /// A graceful stop that was requested of a gateway's process.
@@ -110,7 +110,7 @@
 };
 
 /// The time in which a key was part of the configuration, according to the store's acknowledgements.
-struct KeyLife
+struct KeyLifetime
 {
 	std::string key;
 	Micros added = 0;
@@ -129,15 +129,16 @@
 /// Time limits and tolerances that the gateways have to keep.
 struct Bounds
 {
-	Micros contact = 3 * kSecond;         ///< From the end of a disruption until time-bound promises hold again.
-	Micros drain = 2 * kSecond;           ///< From a departure's acknowledgement until no new work arrives.
-	Micros configApply = 2 * kSecond;     ///< From an acknowledgement until a configuration is in force.
-	Micros revocation = 4 * kSecond;      ///< From an acknowledgement until no request with a removed key runs.
-	Micros underWay = 500 * kMillisecond; ///< From an answer with a backoff until requests in flight have arrived.
-	unsigned mostInBackoff = 2; ///< Requests of one gateway that may arrive from then until the backoff ends.
-	Micros takeSpan = 2500 * kMillisecond; ///< From a stop request until new requests may remain unanswered.
-	Micros quotaWindow = 8 * kSecond;      ///< Window over which a team's runs are counted.
-	double quotaTolerance = 0.1;           ///< Share of the window's limit that may run in addition.
+	Micros contact = 3 * kSecond;     ///< From the end of a disruption until time-bound promises hold again.
+	Micros drain = 2 * kSecond;       ///< From a departure's acknowledgement until no new work arrives.
+	Micros configApply = 2 * kSecond; ///< From an acknowledgement until a configuration is in force.
+	Micros revocation = 4 * kSecond;  ///< From an acknowledgement until no request with a removed key runs.
+	Micros inFlightSpan =
+		500 * kMillisecond;    ///< From an answer with a backoff until requests in flight have arrived.
+	unsigned maxInBackoff = 2; ///< Requests of one gateway that may arrive from then until the backoff ends.
+	Micros acceptSpan = 2500 * kMillisecond; ///< From a stop request until new requests may remain unanswered.
+	Micros quotaWindow = 8 * kSecond;        ///< Window over which a team's runs are counted.
+	double quotaTolerance = 0.1;             ///< Share of the window's limit that may run in addition.
 };
 
 /// All data that one soak recorded.
@@ -150,12 +151,12 @@
 	std::vector<Disruption> disruptions;
 	std::vector<PlannedStop> stops;
 	std::vector<Departure> departures;
-	std::vector<KeyLife> keys;
+	std::vector<KeyLifetime> keys;
 	std::vector<TeamLimit> limits; ///< Ordered by time for each team.
 	std::vector<UsageReport> reports;
-	std::size_t replaced = 0;             ///< Number of replacements of a gateway by another build.
-	std::vector<std::string> unaskedEnds; ///< Processes that ended without a signal from the soak.
-	Micros settled = kNever;              ///< From then on no fault is injected and requests have to be served.
+	std::size_t replaced = 0;                 ///< Number of replacements of a gateway by another build.
+	std::vector<std::string> unexpectedExits; ///< Processes that ended without a signal from the soak.
+	Micros settled = kNever;                  ///< From then on no fault is injected and requests have to be served.
 };
 
 } // namespace beacongate::soak
--- a/tools/soak/openload.cpp
+++ b/tools/soak/openload.cpp
@@ -15,15 +15,15 @@
 {
 namespace
 {
-constexpr Micros kTick = 5 * kMillisecond; ///< Interval at which new arrivals are sent.
-constexpr Micros kAnswerSpan = 4 * kSecond;
+constexpr Micros kArrivalInterval = 5 * kMillisecond; ///< Interval at which new arrivals are sent.
+constexpr Micros kAnswerTimeout = 4 * kSecond;
 constexpr Micros kDeadline = 3 * kSecond;
 constexpr unsigned kOk = 200;
-constexpr double kLargestTokens = 5.0; ///< Largest number of tokens of a request, as a multiple of the mean.
+constexpr double kMaxTokenFactor = 5.0; ///< Largest number of tokens of a request, as a multiple of the mean.
 } // namespace
 
 /// A request in flight.
-struct OpenLoad::Open
+struct OpenLoad::OpenRequest
 {
 	ObservedRequest request;
 	OutgoingCall::Ptr call;
@@ -39,8 +39,8 @@
 	m_loop.run(
 		[this]
 		{
-			m_last = monotonicNow();
-			arrive();
+			m_lastArrivals = monotonicNow();
+			sendArrivals();
 		});
 }
 
@@ -77,16 +77,16 @@
 		{
 			m_stopped = true;
 			m_timer.cancel();
-			giveUpOld(kNever);
+			abandonOlderThan(kNever);
 		});
 	return std::move(m_done);
 }
 
-void OpenLoad::arrive()
+void OpenLoad::sendArrivals()
 {
 	const Micros now = monotonicNow();
-	const double span = secondsOf(now - m_last);
-	m_last = now;
+	const double span = secondsOf(now - m_lastArrivals);
+	m_lastArrivals = now;
 	for (const LoadTeam& team : m_teams)
 	{
 		std::poisson_distribution<unsigned> arrivals(team.requestsPerSecond * span);
@@ -95,26 +95,26 @@
 			send(team);
 		}
 	}
-	giveUpOld(now - kAnswerSpan);
-	m_timer.expires_after(std::chrono::microseconds(kTick));
+	abandonOlderThan(now - kAnswerTimeout);
+	m_timer.expires_after(std::chrono::microseconds(kArrivalInterval));
 	m_timer.async_wait(
 		[this](const boost::system::error_code& _error)
 		{
 			if (!_error && !m_stopped)
 			{
-				arrive();
+				sendArrivals();
 			}
 		});
 }
 
 void OpenLoad::send(const LoadTeam& _team)
 {
-	if (m_open.size() >= kMostOpen)
+	if (m_open.size() >= kMaxOpen)
 	{
-		++m_leftOut;
+		++m_dropped;
 		return;
 	}
-	auto open = std::make_shared<Open>();
+	auto open = std::make_shared<OpenRequest>();
 	ObservedRequest& request = open->request;
 	request.id = _team.name + "-" + std::to_string(++m_number);
 	request.kind = m_random() % 2 == 0 ? RequestKind::Safe : RequestKind::Unsafe;
@@ -127,7 +127,7 @@
 	if (_team.meanTokens > 0.0)
 	{
 		std::exponential_distribution<double> sizes(1.0 / _team.meanTokens);
-		request.tokens = std::ceil(std::min(kLargestTokens * _team.meanTokens, 1.0 + sizes(m_random)));
+		request.tokens = std::ceil(std::min(kMaxTokenFactor * _team.meanTokens, 1.0 + sizes(m_random)));
 		tokens = std::string(platform::kTokenCounts) + ": " +
 				 std::to_string(static_cast<std::uint64_t>(request.tokens)) + ",0\r\n";
 	}
@@ -147,7 +147,7 @@
 	handlers.onHead = [open](const MessageHead& _head)
 	{
 		open->request.status = _head.status;
-		open->request.right = findHeader(_head.headers, platform::kRequestId) == open->request.id;
+		open->request.correct = findHeader(_head.headers, platform::kRequestId) == open->request.id;
 	};
 	handlers.onBody = [open](std::string_view _bytes)
 	{
@@ -156,9 +156,9 @@
 	handlers.onDone = [this, open]
 	{
 		ObservedRequest& done = open->request;
-		done.whole = true;
+		done.complete = true;
 		const bool own = open->body == standin::PlatformWorker::wholeCall(done.id);
-		done.right = done.right && (done.status != kOk || own);
+		done.correct = done.correct && (done.status != kOk || own);
 		end(*open);
 	};
 	handlers.onFault = [this, open](CallFault)
@@ -169,25 +169,25 @@
 	open->call = OutgoingCall::start(m_loop.context(), options, std::move(bytes), std::move(handlers));
 }
 
-void OpenLoad::end(Open& _open)
+void OpenLoad::end(OpenRequest& _open)
 {
 	_open.request.ended = monotonicNow();
 	_open.ended = true;
 	m_done.push_back(_open.request);
 }
 
-void OpenLoad::giveUpOld(Micros _now)
+void OpenLoad::abandonOlderThan(Micros _sentBefore)
 {
-	for (const std::shared_ptr<Open>& open : m_open)
+	for (const std::shared_ptr<OpenRequest>& open : m_open)
 	{
-		if (!open->ended && open->request.sent < _now)
+		if (!open->ended && open->request.sent < _sentBefore)
 		{
-			open->request.gaveUp = true;
+			open->request.abandoned = true;
 			open->call->cancel();
 			end(*open);
 		}
 	}
-	std::erase_if(m_open, [](const std::shared_ptr<Open>& _open) { return _open->ended; });
+	std::erase_if(m_open, [](const std::shared_ptr<OpenRequest>& _open) { return _open->ended; });
 }
 
 } // namespace beacongate::soak
--- a/tools/soak/openload.h
+++ b/tools/soak/openload.h
@@ -34,7 +34,7 @@
 {
 public:
 	/// Largest number of concurrent requests; further arrivals are dropped and counted.
-	static constexpr std::size_t kMostOpen = 4000;
+	static constexpr std::size_t kMaxOpen = 4000;
 
 	/// @param[in] _gateways Addresses at which gateways accept requests.
 	/// @param[in] _startOf Returns the number of a gateway's current process start; called on the loop's thread.
@@ -50,30 +50,30 @@
 	/// @returns all requests.
 	std::vector<ObservedRequest> stop();
 
-	/// @returns the number of arrivals dropped because kMostOpen requests were in flight.
-	std::size_t leftOut() const
+	/// @returns the number of arrivals dropped because kMaxOpen requests were in flight.
+	std::size_t dropped() const
 	{
-		return m_leftOut;
+		return m_dropped;
 	}
 
 private:
-	struct Open;
+	struct OpenRequest;
 
-	void arrive();
+	void sendArrivals();
 	void send(const LoadTeam& _team);
-	void giveUpOld(Micros _now);
-	void end(Open& _open);
+	void abandonOlderThan(Micros _sentBefore);
+	void end(OpenRequest& _open);
 
 	std::vector<Address> m_gateways;
 	std::function<std::uint64_t(unsigned)> m_startOf;
 	std::minstd_rand m_random;
 	std::vector<LoadTeam> m_teams;
-	std::vector<std::shared_ptr<Open>> m_open;
+	std::vector<std::shared_ptr<OpenRequest>> m_open;
 	std::vector<ObservedRequest> m_done;
 	std::size_t m_number = 0;
-	std::size_t m_leftOut = 0;
+	std::size_t m_dropped = 0;
 	bool m_stopped = false;
-	Micros m_last = 0;
+	Micros m_lastArrivals = 0;
 	standin::LoopThread m_loop;
 	boost::asio::steady_timer m_timer;
 };
--- a/tools/soak/quotacheck.cpp
+++ b/tools/soak/quotacheck.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 constexpr unsigned kTooMany = 429;
-constexpr double kBelow = 0.8;             ///< Share of a limit up to which a team is certainly below it.
+constexpr double kBelowShare = 0.8;        ///< Share of a limit up to which a team is certainly below it.
 constexpr Micros kLookBack = 10 * kSecond; ///< Span in which the team has to have been below it.
 
 /// An amount of requests or tokens at a time.
-struct Taking
+struct TimedAmount
 {
 	Micros at = 0;
 	double amount = 0.0;
@@ -33,7 +33,7 @@
 		{
 			if (limit.team == _team)
 			{
-				m_limits.push_back({limit, heldUntil(limit.until)});
+				m_limits.push_back({limit, inForceUntil(limit.until)});
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 		double most = 0.0;
 		for (const Entry& entry : m_limits)
 		{
-			if (entry.limit.from <= _until && entry.heldUntil > _from)
+			if (entry.limit.from <= _until && entry.inForceUntil > _from)
 			{
 				const double given =
 					entry.limit.ratePerSecond * secondsOf(m_seen.bounds.quotaWindow) + entry.limit.burst;
@@ -66,7 +66,7 @@
 		double least = kNoLimit;
 		for (const Entry& entry : m_limits)
 		{
-			const bool counts = entry.limit.from <= _until && entry.heldUntil > _from;
+			const bool counts = entry.limit.from <= _until && entry.inForceUntil > _from;
 			if (counts && entry.limit.ratePerSecond < least)
 			{
 				least = entry.limit.ratePerSecond;
@@ -82,11 +82,11 @@
 	struct Entry
 	{
 		TeamLimit limit;
-		Micros heldUntil = kNever;
+		Micros inForceUntil = kNever;
 	};
 
 	/// @returns when a replaced limit has certainly ceased to apply at all gateways.
-	Micros heldUntil(Micros _replaced) const
+	Micros inForceUntil(Micros _replaced) const
 	{
 		if (_replaced == kNever)
 		{
@@ -97,36 +97,36 @@
 		{
 			disturbed.insert(disruption.gateway);
 		}
-		Micros held = _replaced;
+		Micros inForce = _replaced;
 		for (const std::optional<unsigned>& gateway : disturbed)
 		{
-			held = std::max(held, heldUntil(_replaced, gateway));
+			inForce = std::max(inForce, inForceUntil(_replaced, gateway));
 		}
-		return held;
+		return inForce;
 	}
 
 	/// @param[in] _gateway Empty for gateways that are affected only by disruptions of all gateways.
 	/// @returns when a gateway has been undisturbed for as long as applying a configuration may take.
-	Micros heldUntil(Micros _replaced, const std::optional<unsigned>& _gateway) const
+	Micros inForceUntil(Micros _replaced, const std::optional<unsigned>& _gateway) const
 	{
-		Micros held = _replaced + m_seen.bounds.configApply;
+		Micros inForce = _replaced + m_seen.bounds.configApply;
 		for (bool again = true; again;)
 		{
 			again = false;
 			for (const Disruption& disruption : m_seen.disruptions)
 			{
-				const bool touches = !disruption.gateway || disruption.gateway == _gateway;
-				const Micros over = disruption.until == kNever
-										? kNever
-										: disruption.until + m_seen.bounds.contact + m_seen.bounds.configApply;
-				if (touches && !disruption.ofBackend && disruption.from <= held && over > held)
+				const bool affects = !disruption.gateway || disruption.gateway == _gateway;
+				const Micros recovered = disruption.until == kNever
+											 ? kNever
+											 : disruption.until + m_seen.bounds.contact + m_seen.bounds.configApply;
+				if (affects && !disruption.backendOnly && disruption.from <= inForce && recovered > inForce)
 				{
-					held = over;
+					inForce = recovered;
 					again = true;
 				}
 			}
 		}
-		return held;
+		return inForce;
 	}
 
 	const Observations& m_seen;
@@ -134,13 +134,14 @@
 };
 
 /// Finds the window with the largest ratio of run to tolerated amount.
-void fillMost(TeamUse& _use, std::vector<Taking> _runs, const Limits& _limits, Micros _window, Micros _first)
+void findPeakWindow(TeamUsage& _use, std::vector<TimedAmount> _runs, const Limits& _limits, Micros _window,
+					Micros _first)
 {
 	std::sort(_runs.begin(), _runs.end(),
-			  [](const Taking& _left, const Taking& _right) { return _left.at < _right.at; });
+			  [](const TimedAmount& _left, const TimedAmount& _right) { return _left.at < _right.at; });
 	double sum = 0.0;
 	std::size_t first = 0;
-	for (const Taking& run : _runs)
+	for (const TimedAmount& run : _runs)
 	{
 		sum += run.amount;
 		for (; _runs[first].at <= run.at - _window; ++first)
@@ -148,11 +149,11 @@
 			sum -= _runs[first].amount;
 		}
 		const double tolerated = _limits.tolerated(run.at - _window, run.at);
-		if (_use.tolerated <= 0.0 || sum / tolerated > _use.most / _use.tolerated)
+		if (_use.tolerated <= 0.0 || sum / tolerated > _use.peak / _use.tolerated)
 		{
-			_use.most = sum;
+			_use.peak = sum;
 			_use.tolerated = tolerated;
-			_use.mostUntil = run.at - _first;
+			_use.peakUntil = run.at - _first;
 		}
 	}
 }
@@ -160,11 +161,11 @@
 /// @param[in] _asked Amounts asked for, in order of time; those after the decision are ignored.
 /// @returns true if the amount asked for in every span up to kLookBack that ends with the decision is below the
 /// limit.
-bool isBelow(const std::vector<Taking>& _asked, const TeamLimit& _limit, Micros _decided)
+bool isBelow(const std::vector<TimedAmount>& _asked, const TeamLimit& _limit, Micros _decided)
 {
-	const auto later = [](Micros _moment, const Taking& _taking)
+	const auto later = [](Micros _moment, const TimedAmount& _amount)
 	{
-		return _moment < _taking.at;
+		return _moment < _amount.at;
 	};
 	double sum = 0.0;
 	auto it = std::upper_bound(_asked.begin(), _asked.end(), _decided, later);
@@ -176,7 +177,7 @@
 			return true;
 		}
 		sum += it->amount;
-		if (sum > kBelow * (_limit.ratePerSecond * secondsOf(_decided - it->at) + _limit.burst))
+		if (sum > kBelowShare * (_limit.ratePerSecond * secondsOf(_decided - it->at) + _limit.burst))
 		{
 			return false;
 		}
@@ -185,11 +186,11 @@
 }
 
 /// @returns true if no gateway was disturbed in a span.
-bool allCalm(const Observations& _seen, Micros _from, Micros _until)
+bool allUndisturbed(const Observations& _seen, Micros _from, Micros _until)
 {
 	const auto disturbs = [&](const Disruption& _disruption)
 	{
-		return !_disruption.ofBackend && _disruption.from <= _until && _disruption.until >= _from;
+		return !_disruption.backendOnly && _disruption.from <= _until && _disruption.until >= _from;
 	};
 	const auto stops = [&](const PlannedStop& _stop)
 	{
@@ -199,14 +200,14 @@
 		   std::none_of(_seen.stops.begin(), _seen.stops.end(), stops);
 }
 
-void countRefused(TeamUse& _use, std::vector<const ObservedRequest*> _requests, const Limits& _limits,
+void countRefused(TeamUsage& _use, std::vector<const ObservedRequest*> _requests, const Limits& _limits,
 				  const Observations& _seen)
 {
 	const Bounds& bounds = _seen.bounds;
 	std::sort(_requests.begin(), _requests.end(),
 			  [](const ObservedRequest* _left, const ObservedRequest* _right)
 			  { return _left->sent < _right->sent; });
-	std::vector<Taking> asked;
+	std::vector<TimedAmount> asked;
 	asked.reserve(_requests.size());
 	for (const ObservedRequest* request : _requests)
 	{
@@ -225,16 +226,16 @@
 			++_use.refusedBelow;
 			// The first requests meet gateways that have just started, which counts as a disturbance.
 			const bool started = request->sent >= _requests.front()->sent + bounds.contact;
-			if (started && allCalm(_seen, request->sent - bounds.contact, request->ended))
+			if (started && allUndisturbed(_seen, request->sent - bounds.contact, request->ended))
 			{
-				_use.refusedInCalm.push_back(request->id);
+				_use.refusedUndisturbed.push_back(request->id);
 			}
 		}
 	}
 }
 } // namespace
 
-std::vector<TeamUse> useOf(const Observations& _seen)
+std::vector<TeamUsage> usageOf(const Observations& _seen)
 {
 	std::map<std::string, std::vector<const ObservedRequest*>> requests;
 	std::map<std::string, const ObservedRequest*> byId;
@@ -253,11 +254,11 @@
 	{
 		teams.insert(limit.team);
 	}
-	std::vector<TeamUse> uses;
+	std::vector<TeamUsage> uses;
 	for (const std::string& team : teams)
 	{
 		const Limits limits(_seen, team);
-		std::vector<Taking> runs;
+		std::vector<TimedAmount> runs;
 		for (const ObservedRun& run : _seen.runs)
 		{
 			const auto request = byId.find(run.id);
@@ -266,9 +267,9 @@
 				runs.push_back({run.began, limits.countsTokens() ? request->second->tokens : 1.0});
 			}
 		}
-		TeamUse use;
+		TeamUsage use;
 		use.team = team;
-		fillMost(use, std::move(runs), limits, _seen.bounds.quotaWindow, first);
+		findPeakWindow(use, std::move(runs), limits, _seen.bounds.quotaWindow, first);
 		countRefused(use, requests[team], limits, _seen);
 		uses.push_back(use);
 	}
--- a/tools/soak/quotacheck.h
+++ b/tools/soak/quotacheck.h
@@ -16,18 +16,18 @@
 namespace beacongate::soak
 {
 /// Usage and refusals of one team. Amounts are requests or tokens, whichever its limit counts.
-struct TeamUse
+struct TeamUsage
 {
 	std::string team;
-	double most = 0.0;      ///< Amount run in the window with the largest ratio of run to tolerated amount.
+	double peak = 0.0;      ///< Amount run in the window with the largest ratio of run to tolerated amount.
 	double tolerated = 0.0; ///< Amount tolerated in that window.
-	Micros mostUntil = 0;   ///< End of that window, relative to the first run of the soak.
+	Micros peakUntil = 0;   ///< End of that window, relative to the first run of the soak.
 	std::size_t asked = 0;
 	std::size_t refused = 0;
 	std::size_t askedBelow = 0;   ///< Requests sent while the team was below its limit.
 	std::size_t refusedBelow = 0; ///< Number of these that were refused as over the limit.
 	/// Refused requests of these that came while no gateway had been disturbed for at least Bounds::contact.
-	std::vector<std::string> refusedInCalm;
+	std::vector<std::string> refusedUndisturbed;
 };
 
 /// @returns the usage of each team that has a limit.
@@ -35,7 +35,7 @@
 /// ends with the decision is at most 0.8 of what the smallest limit in that span allows. A lowered limit applies to
 /// windows that begin after each gateway has, since the change, been undisturbed for as long as applying a
 /// configuration may take.
-std::vector<TeamUse> useOf(const Observations& _seen);
+std::vector<TeamUsage> usageOf(const Observations& _seen);
 
 } // namespace beacongate::soak
 
--- a/tools/soak/report.cpp
+++ b/tools/soak/report.cpp
@@ -15,7 +15,7 @@
 constexpr double kWidth = 1100.0;
 constexpr double kLatencyHeight = 260.0;
 constexpr double kRowHeight = 14.0;
-constexpr double kSlowest = 5000.0; ///< Latency at the top of the plot, in milliseconds.
+constexpr double kMaxLatencyMillis = 5000.0; ///< Latency at the top of the plot, in milliseconds.
 constexpr double kLeft = 120.0;
 
 /// Converts times into horizontal positions.
@@ -31,7 +31,7 @@
 		}
 	}
 
-	double at(Micros _moment) const
+	double positionOf(Micros _moment) const
 	{
 		const Micros inside = std::clamp(_moment, m_from, std::max(m_from, m_until));
 		const auto span = static_cast<double>(std::max<Micros>(1, m_until - m_from));
@@ -45,7 +45,7 @@
 
 const char* colourOf(const ObservedRequest& _request)
 {
-	if (_request.status == 200 && _request.whole)
+	if (_request.status == 200 && _request.complete)
 	{
 		return "#2a7";
 	}
@@ -63,9 +63,9 @@
 	for (const ObservedRequest& request : _seen.requests)
 	{
 		const double millis = std::max(1.0, static_cast<double>(request.ended - request.sent) / 1000.0);
-		const double share = std::min(1.0, std::log10(millis) / std::log10(kSlowest));
-		_page << "<circle r='2' cx='" << _axis.at(request.sent) << "' cy='" << kLatencyHeight * (1.0 - share) + 4
-			  << "' fill='" << colourOf(request) << "'/>\n";
+		const double share = std::min(1.0, std::log10(millis) / std::log10(kMaxLatencyMillis));
+		_page << "<circle r='2' cx='" << _axis.positionOf(request.sent) << "' cy='"
+			  << kLatencyHeight * (1.0 - share) + 4 << "' fill='" << colourOf(request) << "'/>\n";
 	}
 	_page << "</svg>\n";
 }
@@ -86,9 +86,9 @@
 		_page << "<text x='0' y='" << top + kRowHeight - 3 << "' font-size='11'>" << name << "</text>\n";
 		for (const Disruption* disruption : disruptions)
 		{
-			const double from = _axis.at(disruption->from);
+			const double from = _axis.positionOf(disruption->from);
 			_page << "<rect x='" << from << "' y='" << top + 2 << "' width='"
-				  << std::max(2.0, _axis.at(disruption->until) - from) << "' height='" << kRowHeight - 4
+				  << std::max(2.0, _axis.positionOf(disruption->until) - from) << "' height='" << kRowHeight - 4
 				  << "' fill='#57a'/>\n";
 		}
 		top += kRowHeight;
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -36,13 +36,13 @@
 constexpr unsigned kHostsInNet = 250;
 constexpr unsigned kNetsOfSoak = 5; ///< Number of networks that hold all hosts above.
 constexpr std::size_t kKeysInForce = 2;
-constexpr Micros kStep = 20 * kMillisecond;
+constexpr Micros kPollInterval = 20 * kMillisecond;
 constexpr Micros kGrace = 6 * kSecond;
 constexpr Micros kSettleSpan = 7 * kSecond;
-constexpr Micros kProofSpan = 3 * kSecond;
+constexpr Micros kVerifySpan = 3 * kSecond;
 constexpr Micros kStartSpan = 15 * kSecond;
-constexpr Micros kCalmLowered = 20 * kSecond; ///< Span without faults after limits were lowered.
-constexpr unsigned kMostRequestsAConnection = 6;
+constexpr Micros kLoweredQuietSpan = 20 * kSecond; ///< Span without faults after limits were lowered.
+constexpr unsigned kMaxRequestsPerConnection = 6;
 
 bool isReady(const Address& _address)
 {
@@ -64,14 +64,14 @@
 	const auto pid = static_cast<unsigned>(getpid());
 	m_net = "127." + std::to_string(1 + pid % kHostsInNet) + ".";
 	m_firstNet = pid / kHostsInNet % (kHostsInNet / kNetsOfSoak) * kNetsOfSoak;
-	m_options.gateways = std::clamp(_options.gateways, 1u, kMostGateways);
+	m_options.gateways = std::clamp(_options.gateways, 1u, kMaxGateways);
 	m_seen.bounds.revocation = 4 * kSecond;
-	m_seen.bounds.takeSpan = 2 * kSecond;
+	m_seen.bounds.acceptSpan = 2 * kSecond;
 }
 
 Soak::~Soak()
 {
-	m_calling = false;
+	m_callersRunning = false;
 	for (std::thread& caller : m_callers)
 	{
 		caller.join();
@@ -134,11 +134,11 @@
 					 {pathOf(RequestKind::Unsafe), "unsafe", 1},
 					 {pathOf(RequestKind::StreamOnce), "streaming", 1},
 					 {pathOf(RequestKind::StreamAgain), "streaming", 2, true}};
-	for (unsigned number = 0; number < m_moreRoutes; ++number)
+	for (unsigned number = 0; number < m_extraRoutes; ++number)
 	{
 		config.routes.push_back({"/more" + std::to_string(number) + "/", "safe", 2});
 	}
-	for (const KeyLife& key : m_seen.keys)
+	for (const KeyLifetime& key : m_seen.keys)
 	{
 		if (key.removed == kNever)
 		{
@@ -157,7 +157,7 @@
 	const std::lock_guard<std::mutex> guard(m_mutex);
 	m_seen.keys.push_back({"k" + std::to_string(m_seen.keys.size() + 1), kNever, kNever});
 	const std::size_t count = m_seen.keys.size();
-	KeyLife* removed = count > kKeysInForce ? &m_seen.keys[count - 1 - kKeysInForce] : nullptr;
+	KeyLifetime* removed = count > kKeysInForce ? &m_seen.keys[count - 1 - kKeysInForce] : nullptr;
 	if (removed)
 	{
 		removed->removed = monotonicNow();
@@ -187,11 +187,11 @@
 	return request;
 }
 
-void Soak::callLoop(unsigned _caller)
+void Soak::runCaller(unsigned _caller)
 {
 	std::minstd_rand random(static_cast<std::minstd_rand::result_type>(m_options.seed * 1000 + _caller + 1));
 	unsigned number = 0;
-	while (m_calling)
+	while (m_callersRunning)
 	{
 		const unsigned gateway = static_cast<unsigned>(random() % m_gateways.size());
 		const std::uint64_t start = m_gateways[gateway]->process->starts();
@@ -200,8 +200,8 @@
 		{
 			continue; // It is unknown which process accepted the connection.
 		}
-		const unsigned count = 1 + static_cast<unsigned>(random() % kMostRequestsAConnection);
-		for (unsigned sent = 0; sent < count && connection.open() && m_calling; ++sent)
+		const unsigned count = 1 + static_cast<unsigned>(random() % kMaxRequestsPerConnection);
+		for (unsigned sent = 0; sent < count && connection.open() && m_callersRunning; ++sent)
 		{
 			ObservedRequest request = makeRequest(random, _caller, ++number);
 			request.gateway = gateway;
@@ -216,39 +216,39 @@
 
 void Soak::startCallers()
 {
-	m_calling = true;
+	m_callersRunning = true;
 	for (unsigned caller = 0; caller < m_options.callers; ++caller)
 	{
-		m_callers.emplace_back([this, caller] { callLoop(caller); });
+		m_callers.emplace_back([this, caller] { runCaller(caller); });
 	}
 }
 
-std::size_t Soak::disrupt(const std::string& _what, std::optional<unsigned> _gateway, bool _ofBackend)
+std::size_t Soak::beginDisruption(const std::string& _what, std::optional<unsigned> _gateway, bool _backendOnly)
 {
 	const std::lock_guard<std::mutex> guard(m_mutex);
-	m_seen.disruptions.push_back({_what, monotonicNow(), kNever, _gateway, _ofBackend});
+	m_seen.disruptions.push_back({_what, monotonicNow(), kNever, _gateway, _backendOnly});
 	return m_seen.disruptions.size() - 1;
 }
 
-void Soak::calmDown(std::size_t _disruption)
+void Soak::endDisruption(std::size_t _disruption)
 {
 	const std::lock_guard<std::mutex> guard(m_mutex);
 	m_seen.disruptions[_disruption].until = monotonicNow();
 }
 
-void Soak::later(Micros _span, std::function<void()> _action)
+void Soak::schedule(Micros _span, std::function<void()> _action)
 {
 	m_pending.push_back({monotonicNow() + _span, std::move(_action)});
 }
 
-std::size_t Soak::drawn(std::size_t _count)
+std::size_t Soak::drawIndex(std::size_t _count)
 {
 	return m_random() % _count;
 }
 
-Micros Soak::drawnSpan(Micros _least, Micros _most)
+Micros Soak::drawSpan(Micros _min, Micros _max)
 {
-	return _least + static_cast<Micros>(m_random() % static_cast<std::uint64_t>(_most - _least + 1));
+	return _min + static_cast<Micros>(m_random() % static_cast<std::uint64_t>(_max - _min + 1));
 }
 
 void Soak::watchProcesses()
@@ -260,25 +260,25 @@
 		{
 			continue;
 		}
-		if (!gateway.asked || gateway.process->endStatus() != 0)
+		if (!gateway.stopRequested || gateway.process->endStatus() != 0)
 		{
 			const std::lock_guard<std::mutex> guard(m_mutex);
-			m_seen.unaskedEnds.push_back("gateway " + std::to_string(number) + " ended with status " +
-										 std::to_string(gateway.process->endStatus()));
+			m_seen.unexpectedExits.push_back("gateway " + std::to_string(number) + " ended with status " +
+											 std::to_string(gateway.process->endStatus()));
 		}
 		else
 		{
 			const std::lock_guard<std::mutex> guard(m_mutex);
 			m_seen.stops[gateway.stop].ended = monotonicNow();
 		}
-		const std::size_t disruption = disrupt("stopped", number);
-		gateway.asked = true;
-		later(drawnSpan(100 * kMillisecond, kSecond),
-			  [this, number, disruption]
-			  {
-				  restart(number);
-				  calmDown(disruption);
-			  });
+		const std::size_t disruption = beginDisruption("stopped", number);
+		gateway.stopRequested = true;
+		schedule(drawSpan(100 * kMillisecond, kSecond),
+				 [this, number, disruption]
+				 {
+					 restart(number);
+					 endDisruption(disruption);
+				 });
 	}
 }
 
@@ -303,7 +303,7 @@
 		{
 			pending.action();
 		}
-		std::this_thread::sleep_for(std::chrono::microseconds(kStep));
+		std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
 	}
 }
 
@@ -312,7 +312,7 @@
 	// The pending actions end all faults and restart stopped gateways.
 	while (!m_pending.empty())
 	{
-		runUntil(monotonicNow() + kStep);
+		runUntil(monotonicNow() + kPollInterval);
 	}
 	runUntil(monotonicNow() + kSettleSpan);
 	while (!m_pending.empty())
@@ -323,7 +323,7 @@
 		const std::lock_guard<std::mutex> guard(m_mutex);
 		m_seen.settled = monotonicNow();
 	}
-	runUntil(monotonicNow() + kProofSpan);
+	runUntil(monotonicNow() + kVerifySpan);
 }
 
 void Soak::collect()
@@ -360,12 +360,12 @@
 	{
 		addBackend();
 	}
-	if (limitsTeams())
+	if (hasTeamLimits())
 	{
 		startTeams();
 	}
 	rotateKey();
-	noteLimits(monotonicNow());
+	recordLimits(monotonicNow());
 	for (unsigned number = 1; number <= m_options.gateways; ++number)
 	{
 		writeSettings(number, true);
@@ -388,7 +388,7 @@
 			{
 				throw Error(Failure::SettingInvalid, "a gateway does not get ready; see its log");
 			}
-			std::this_thread::sleep_for(std::chrono::microseconds(kStep));
+			std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
 		}
 	}
 	for (unsigned number = 1; number <= m_options.gateways; ++number)
@@ -405,35 +405,35 @@
 		if (m_options.profile == SoakProfile::LoweredQuotas)
 		{
 			lowerLimits();
-			runUntil(std::min(end, monotonicNow() + kCalmLowered));
-			troubleLowered(end);
+			runUntil(std::min(end, monotonicNow() + kLoweredQuietSpan));
+			injectFaultsAfterLowering(end);
 			continue;
 		}
 		if (m_options.profile == SoakProfile::Quotas)
 		{
-			injectQuotaTrouble();
-			runUntil(monotonicNow() + drawnSpan(300 * kMillisecond, 3 * kSecond));
+			injectQuotaFault();
+			runUntil(monotonicNow() + drawSpan(300 * kMillisecond, 3 * kSecond));
 			continue;
 		}
 		if (m_options.profile == SoakProfile::Answers)
 		{
-			injectAnswers();
-			runUntil(monotonicNow() + drawnSpan(50 * kMillisecond, 900 * kMillisecond));
+			injectAnswerFault();
+			runUntil(monotonicNow() + drawSpan(50 * kMillisecond, 900 * kMillisecond));
 			continue;
 		}
 		if (m_options.profile != SoakProfile::Mixed)
 		{
 			injectDeparture();
-			runUntil(monotonicNow() + drawnSpan(50 * kMillisecond, 700 * kMillisecond));
+			runUntil(monotonicNow() + drawSpan(50 * kMillisecond, 700 * kMillisecond));
 			continue;
 		}
-		injectOne();
+		injectFault();
 		// Most faults overlap; an occasional longer pause lets all bounds take effect.
-		runUntil(monotonicNow() + (drawn(12) == 0 ? drawnSpan(5 * kSecond, 8 * kSecond)
-												  : drawnSpan(50 * kMillisecond, 700 * kMillisecond)));
+		runUntil(monotonicNow() + (drawIndex(12) == 0 ? drawSpan(5 * kSecond, 8 * kSecond)
+													  : drawSpan(50 * kMillisecond, 700 * kMillisecond)));
 	}
 	settle();
-	m_calling = false;
+	m_callersRunning = false;
 	for (std::thread& caller : m_callers)
 	{
 		caller.join();
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -65,7 +65,7 @@
 {
 public:
 	/// Largest number of gateways in one soak.
-	static constexpr unsigned kMostGateways = 300;
+	static constexpr unsigned kMaxGateways = 300;
 
 	explicit Soak(const SoakOptions& _options);
 	~Soak();
@@ -104,33 +104,33 @@
 	void putConfig();
 	void rotateKey();
 	void startCallers();
-	void callLoop(unsigned _caller);
+	void runCaller(unsigned _caller);
 	ObservedRequest makeRequest(std::minstd_rand& _random, unsigned _caller, unsigned _number);
-	void injectOne();
+	void injectFault();
 	void injectDeparture();
 	void startTeams();
 	void changeLoad();
 	void changeLimit();
-	void noteLimits(Micros _now);
-	void standStill(double _share, Micros _span);
-	void injectQuotaTrouble();
+	void recordLimits(Micros _now);
+	void pauseGateways(double _share, Micros _span);
+	void injectQuotaFault();
 	void lowerLimits();
-	void troubleLowered(Micros _until);
-	bool limitsTeams() const;
+	void injectFaultsAfterLowering(Micros _until);
+	bool hasTeamLimits() const;
 	double slackOf(const standin::SiteTeam& _team) const;
-	Backend& stayingBackend();
+	Backend& drawStayingBackend();
 	void askForBackoff();
-	void leaveInAnswers();
-	void injectAnswers();
+	void announceLeavingInAnswers();
+	void injectAnswerFault();
 	void beginUpgrade(Micros _until);
 	void upgradeNext();
 	void killGateway(unsigned _number);
 	void stopGateway(unsigned _number);
 	void pauseGateway(unsigned _number);
-	void holdUpGateway(unsigned _number);
+	void stallGateway(unsigned _number);
 	void cutStore(unsigned _number);
 	void slowStore(unsigned _number);
-	void narrowStore();
+	void limitStoreBandwidth();
 	void failStore();
 	void lapseRecords();
 	void failBackend();
@@ -141,11 +141,12 @@
 	void settle();
 	void collect();
 	void runUntil(Micros _moment);
-	void later(Micros _span, std::function<void()> _action);
-	std::size_t disrupt(const std::string& _what, std::optional<unsigned> _gateway, bool _ofBackend = false);
-	void calmDown(std::size_t _disruption);
-	std::size_t drawn(std::size_t _count);
-	Micros drawnSpan(Micros _least, Micros _most);
+	void schedule(Micros _span, std::function<void()> _action);
+	std::size_t beginDisruption(const std::string& _what, std::optional<unsigned> _gateway,
+								bool _backendOnly = false);
+	void endDisruption(std::size_t _disruption);
+	std::size_t drawIndex(std::size_t _count);
+	Micros drawSpan(Micros _min, Micros _max);
 
 	SoakOptions m_options;
 	std::string m_net;       ///< First two octets of all addresses.
@@ -160,12 +161,12 @@
 	std::vector<std::thread> m_callers;
 	std::vector<standin::SiteTeam> m_teams; ///< Teams with limits.
 	std::unique_ptr<OpenLoad> m_load;
-	std::atomic<bool> m_calling = false;
+	std::atomic<bool> m_callersRunning = false;
 	std::mutex m_mutex; ///< Guards m_seen, which callers' threads write as well.
 	Observations m_seen;
 	std::uint64_t m_version = 0;
-	unsigned m_moreRoutes = 0; ///< Additional routes that enlarge the configuration.
-	bool m_narrow = false;     ///< The store's answers are sent at a low bandwidth.
+	unsigned m_extraRoutes = 0;      ///< Additional routes that enlarge the configuration.
+	bool m_bandwidthLimited = false; ///< The store's answers are sent at a low bandwidth.
 };
 
 } // namespace beacongate::soak
--- a/tools/soak/soak_p.h
+++ b/tools/soak/soak_p.h
@@ -22,9 +22,9 @@
 	Address address;
 	std::unique_ptr<FaultProxy> storeLink;
 	std::unique_ptr<GatewayProcess> process;
-	bool asked = false;  ///< A graceful stop of its process was requested.
-	bool paused = false; ///< Its process is paused.
-	bool cut = false;    ///< A fault is injected into its link to the store.
+	bool stopRequested = false;   ///< A graceful stop of its process was requested.
+	bool paused = false;          ///< Its process is paused.
+	bool storeLinkFaulty = false; ///< A fault is injected into its link to the store.
 	std::size_t stop = 0;
 };
 
@@ -36,7 +36,7 @@
 	std::unique_ptr<standin::PlatformWorker> worker;
 	std::unique_ptr<FaultProxy> link;
 	bool leaving = false;
-	bool turnsAway = false; ///< The backend server currently rejects requests.
+	bool rejecting = false; ///< The backend server currently rejects requests.
 };
 
 } // namespace beacongate::soak
--- a/tools/soak/soakanswers.cpp
+++ b/tools/soak/soakanswers.cpp
@@ -11,7 +11,7 @@
 
 namespace beacongate::soak
 {
-Soak::Backend& Soak::stayingBackend()
+Soak::Backend& Soak::drawStayingBackend()
 {
 	std::vector<Backend*> staying;
 	for (const auto& backend : m_backends)
@@ -21,7 +21,7 @@
 			staying.push_back(backend.get());
 		}
 	}
-	return *staying[drawn(staying.size())];
+	return *staying[drawIndex(staying.size())];
 }
 
 void Soak::askForBackoff()
@@ -30,67 +30,67 @@
 	constexpr std::array kValues = {"3", "2", "1", "4", "0.7", "2.5", "3", "0", "-2", "soon"};
 	constexpr std::array kFaults = {standin::WorkerFault::Rejects, standin::WorkerFault::RejectsSome,
 									standin::WorkerFault::RejectsSome};
-	Backend& backend = stayingBackend();
-	if (backend.turnsAway)
+	Backend& backend = drawStayingBackend();
+	if (backend.rejecting)
 	{
 		return;
 	}
-	backend.turnsAway = true;
-	const std::size_t disruption = disrupt("backend", std::nullopt, true);
-	backend.worker->setRetryAfter(kValues[drawn(kValues.size())]);
-	backend.worker->setFault(kFaults[drawn(kFaults.size())]);
-	later(drawnSpan(200 * kMillisecond, 3 * kSecond),
-		  [this, &backend, disruption]
-		  {
-			  backend.worker->setFault(standin::WorkerFault::None);
-			  backend.turnsAway = false;
-			  calmDown(disruption);
-		  });
+	backend.rejecting = true;
+	const std::size_t disruption = beginDisruption("backend", std::nullopt, true);
+	backend.worker->setRetryAfter(kValues[drawIndex(kValues.size())]);
+	backend.worker->setFault(kFaults[drawIndex(kFaults.size())]);
+	schedule(drawSpan(200 * kMillisecond, 3 * kSecond),
+			 [this, &backend, disruption]
+			 {
+				 backend.worker->setFault(standin::WorkerFault::None);
+				 backend.rejecting = false;
+				 endDisruption(disruption);
+			 });
 }
 
-void Soak::leaveInAnswers()
+void Soak::announceLeavingInAnswers()
 {
 	// The record in the store shows the departure only later.
 	addBackend();
-	Backend& backend = stayingBackend();
+	Backend& backend = drawStayingBackend();
 	backend.leaving = true;
 	backend.worker->setLeaving(true);
 	failStore();
-	later(drawnSpan(kSecond, 6 * kSecond),
-		  [this, &backend]
-		  {
-			  putRecord(backend, "draining");
-			  const std::lock_guard<std::mutex> guard(m_mutex);
-			  m_seen.departures.push_back({backend.id, monotonicNow()});
-		  });
+	schedule(drawSpan(kSecond, 6 * kSecond),
+			 [this, &backend]
+			 {
+				 putRecord(backend, "draining");
+				 const std::lock_guard<std::mutex> guard(m_mutex);
+				 m_seen.departures.push_back({backend.id, monotonicNow()});
+			 });
 }
 
-void Soak::injectAnswers()
+void Soak::injectAnswerFault()
 {
-	const auto number = static_cast<unsigned>(drawn(m_gateways.size()));
+	const auto number = static_cast<unsigned>(drawIndex(m_gateways.size()));
 	const Gateway& gateway = *m_gateways[number];
-	const bool steady = !gateway.asked && !gateway.paused && gateway.process->running();
-	switch (drawn(14))
+	const bool isRunning = !gateway.stopRequested && !gateway.paused && gateway.process->running();
+	switch (drawIndex(14))
 	{
 	case 0:
 	case 1:
-		steady ? holdUpGateway(number) : void();
+		isRunning ? stallGateway(number) : void();
 		break;
 	case 2:
-		steady ? pauseGateway(number) : void();
+		isRunning ? pauseGateway(number) : void();
 		break;
 	case 3:
-		steady ? killGateway(number) : void();
+		isRunning ? killGateway(number) : void();
 		break;
 	case 4:
-		steady ? stopGateway(number) : void();
+		isRunning ? stopGateway(number) : void();
 		break;
 	case 5:
-		gateway.cut ? void() : slowStore(number);
+		gateway.storeLinkFaulty ? void() : slowStore(number);
 		break;
 	case 6:
 	case 7:
-		leaveInAnswers();
+		announceLeavingInAnswers();
 		break;
 	default:
 		askForBackoff();
--- a/tools/soak/soakfaults.cpp
+++ b/tools/soak/soakfaults.cpp
@@ -15,7 +15,7 @@
 {
 void Soak::restart(unsigned _number)
 {
-	m_gateways[_number]->asked = false;
+	m_gateways[_number]->stopRequested = false;
 	m_gateways[_number]->paused = false;
 	m_gateways[_number]->process->start();
 }
@@ -23,21 +23,21 @@
 void Soak::killGateway(unsigned _number)
 {
 	Gateway& gateway = *m_gateways[_number];
-	const std::size_t disruption = disrupt("kill", _number);
+	const std::size_t disruption = beginDisruption("kill", _number);
 	gateway.process->kill();
-	gateway.asked = true;
-	later(drawnSpan(200 * kMillisecond, 1500 * kMillisecond),
-		  [this, _number, disruption]
-		  {
-			  restart(_number);
-			  calmDown(disruption);
-		  });
+	gateway.stopRequested = true;
+	schedule(drawSpan(200 * kMillisecond, 1500 * kMillisecond),
+			 [this, _number, disruption]
+			 {
+				 restart(_number);
+				 endDisruption(disruption);
+			 });
 }
 
 void Soak::stopGateway(unsigned _number)
 {
 	Gateway& gateway = *m_gateways[_number];
-	gateway.asked = true;
+	gateway.stopRequested = true;
 	{
 		const std::lock_guard<std::mutex> guard(m_mutex);
 		gateway.stop = m_seen.stops.size();
@@ -50,30 +50,30 @@
 {
 	Gateway& gateway = *m_gateways[_number];
 	gateway.paused = true;
-	const std::size_t disruption = disrupt("pause", _number);
+	const std::size_t disruption = beginDisruption("pause", _number);
 	gateway.process->signal(SIGSTOP);
-	later(drawnSpan(200 * kMillisecond, 4 * kSecond),
-		  [this, &gateway, disruption]
-		  {
-			  gateway.paused = false;
-			  gateway.process->signal(SIGCONT);
-			  calmDown(disruption);
-		  });
+	schedule(drawSpan(200 * kMillisecond, 4 * kSecond),
+			 [this, &gateway, disruption]
+			 {
+				 gateway.paused = false;
+				 gateway.process->signal(SIGCONT);
+				 endDisruption(disruption);
+			 });
 }
 
-void Soak::holdUpGateway(unsigned _number)
+void Soak::stallGateway(unsigned _number)
 {
 	// Healthy VMs may get no processor time for such a span under contention. It therefore is no disruption, and
 	// all bounds hold.
 	Gateway& gateway = *m_gateways[_number];
 	gateway.paused = true;
 	gateway.process->signal(SIGSTOP);
-	later(drawnSpan(100 * kMillisecond, 500 * kMillisecond),
-		  [&gateway]
-		  {
-			  gateway.paused = false;
-			  gateway.process->signal(SIGCONT);
-		  });
+	schedule(drawSpan(100 * kMillisecond, 500 * kMillisecond),
+			 [&gateway]
+			 {
+				 gateway.paused = false;
+				 gateway.process->signal(SIGCONT);
+			 });
 }
 
 void Soak::slowStore(unsigned _number)
@@ -81,94 +81,94 @@
 	// Both directions work and the store is healthy, so this is no disruption and all bounds hold. An answer takes
 	// 0.4 s to 1.1 s, up to half of the bound on new work for departed servers.
 	Gateway& gateway = *m_gateways[_number];
-	gateway.cut = true;
-	gateway.storeLink->setFault(LinkFault::Delays, drawnSpan(200 * kMillisecond, 550 * kMillisecond));
-	later(drawnSpan(2 * kSecond, 8 * kSecond),
-		  [&gateway]
-		  {
-			  gateway.storeLink->setFault(LinkFault::None);
-			  gateway.cut = false;
-		  });
+	gateway.storeLinkFaulty = true;
+	gateway.storeLink->setFault(LinkFault::Delays, drawSpan(200 * kMillisecond, 550 * kMillisecond));
+	schedule(drawSpan(2 * kSecond, 8 * kSecond),
+			 [&gateway]
+			 {
+				 gateway.storeLink->setFault(LinkFault::None);
+				 gateway.storeLinkFaulty = false;
+			 });
 }
 
-void Soak::narrowStore()
+void Soak::limitStoreBandwidth()
 {
 	// A configuration of 160 kB takes half a second, as over a nearly saturated link of 10 Mbit/s.
-	constexpr unsigned kMostRoutes = 600;
+	constexpr unsigned kMaxExtraRoutes = 600;
 	constexpr std::size_t kRate = 320'000;
-	m_narrow = true;
+	m_bandwidthLimited = true;
 	m_store->setReadRate(kRate);
-	m_moreRoutes = static_cast<unsigned>(drawn(kMostRoutes));
+	m_extraRoutes = static_cast<unsigned>(drawIndex(kMaxExtraRoutes));
 	rotateKey();
-	later(drawnSpan(2 * kSecond, 6 * kSecond),
-		  [this]
-		  {
-			  m_store->setReadRate(0);
-			  m_narrow = false;
-		  });
+	schedule(drawSpan(2 * kSecond, 6 * kSecond),
+			 [this]
+			 {
+				 m_store->setReadRate(0);
+				 m_bandwidthLimited = false;
+			 });
 }
 
 void Soak::cutStore(unsigned _number)
 {
-	m_gateways[_number]->cut = true;
+	m_gateways[_number]->storeLinkFaulty = true;
 	constexpr std::array kFaults = {LinkFault::Delays, LinkFault::Resets, LinkFault::Silent,
-									LinkFault::CutsAnswers};
-	const std::size_t disruption = disrupt("store-link", _number);
-	m_gateways[_number]->storeLink->setFault(kFaults[drawn(kFaults.size())]);
-	later(drawnSpan(300 * kMillisecond, 6 * kSecond),
-		  [this, _number, disruption]
-		  {
-			  m_gateways[_number]->storeLink->setFault(LinkFault::None);
-			  m_gateways[_number]->cut = false;
-			  calmDown(disruption);
-		  });
+									LinkFault::DropsAnswers};
+	const std::size_t disruption = beginDisruption("store-link", _number);
+	m_gateways[_number]->storeLink->setFault(kFaults[drawIndex(kFaults.size())]);
+	schedule(drawSpan(300 * kMillisecond, 6 * kSecond),
+			 [this, _number, disruption]
+			 {
+				 m_gateways[_number]->storeLink->setFault(LinkFault::None);
+				 m_gateways[_number]->storeLinkFaulty = false;
+				 endDisruption(disruption);
+			 });
 }
 
 void Soak::failStore()
 {
 	constexpr std::array kFaults = {standin::StoreFault::Busy, standin::StoreFault::Silent,
 									standin::StoreFault::LosesWrites};
-	const std::size_t disruption = disrupt("store", std::nullopt);
-	if (drawn(4) == 0)
+	const std::size_t disruption = beginDisruption("store", std::nullopt);
+	if (drawIndex(4) == 0)
 	{
 		m_store->forgetHistory();
-		calmDown(disruption);
+		endDisruption(disruption);
 		return;
 	}
-	m_store->setFault(kFaults[drawn(kFaults.size())]);
-	later(drawnSpan(300 * kMillisecond, 5 * kSecond),
-		  [this, disruption]
-		  {
-			  m_store->setFault(standin::StoreFault::None);
-			  calmDown(disruption);
-		  });
+	m_store->setFault(kFaults[drawIndex(kFaults.size())]);
+	schedule(drawSpan(300 * kMillisecond, 5 * kSecond),
+			 [this, disruption]
+			 {
+				 m_store->setFault(standin::StoreFault::None);
+				 endDisruption(disruption);
+			 });
 }
 
 void Soak::lapseRecords()
 {
-	const std::size_t disruption = disrupt("store-lapse", std::nullopt);
+	const std::size_t disruption = beginDisruption("store-lapse", std::nullopt);
 	m_store->setFault(standin::StoreFault::Busy);
-	later(drawnSpan(2 * kSecond, 4 * kSecond),
-		  [this, disruption]
-		  {
-			  for (const auto& backend : m_backends)
-			  {
-				  m_store->remove(platform::kServersPrefix + backend->id);
-			  }
-			  m_store->setFault(standin::StoreFault::None);
-			  later(drawnSpan(100 * kMillisecond, 1800 * kMillisecond),
-					[this, disruption]
-					{
-						for (const auto& backend : m_backends)
-						{
-							if (!backend->leaving)
-							{
-								putRecord(*backend, "ready");
-							}
-						}
-						calmDown(disruption);
-					});
-		  });
+	schedule(drawSpan(2 * kSecond, 4 * kSecond),
+			 [this, disruption]
+			 {
+				 for (const auto& backend : m_backends)
+				 {
+					 m_store->remove(platform::kServersPrefix + backend->id);
+				 }
+				 m_store->setFault(standin::StoreFault::None);
+				 schedule(drawSpan(100 * kMillisecond, 1800 * kMillisecond),
+						  [this, disruption]
+						  {
+							  for (const auto& backend : m_backends)
+							  {
+								  if (!backend->leaving)
+								  {
+									  putRecord(*backend, "ready");
+								  }
+							  }
+							  endDisruption(disruption);
+						  });
+			 });
 }
 
 void Soak::failBackend()
@@ -177,30 +177,30 @@
 									standin::WorkerFault::Resets,   standin::WorkerFault::Hangs,
 									standin::WorkerFault::WrongId,  standin::WorkerFault::CutsStream,
 									standin::WorkerFault::Unframed, standin::WorkerFault::Misdirected};
-	Backend& backend = *m_backends[m_backends.size() - 1 - drawn(kBackends)];
-	const std::size_t disruption = disrupt("backend", std::nullopt, true);
-	backend.worker->setFault(kFaults[drawn(kFaults.size())]);
-	later(drawnSpan(300 * kMillisecond, 3 * kSecond),
-		  [this, &backend, disruption]
-		  {
-			  backend.worker->setFault(standin::WorkerFault::None);
-			  calmDown(disruption);
-		  });
+	Backend& backend = *m_backends[m_backends.size() - 1 - drawIndex(kBackends)];
+	const std::size_t disruption = beginDisruption("backend", std::nullopt, true);
+	backend.worker->setFault(kFaults[drawIndex(kFaults.size())]);
+	schedule(drawSpan(300 * kMillisecond, 3 * kSecond),
+			 [this, &backend, disruption]
+			 {
+				 backend.worker->setFault(standin::WorkerFault::None);
+				 endDisruption(disruption);
+			 });
 }
 
 void Soak::cutBackend()
 {
 	constexpr std::array kFaults = {LinkFault::Delays, LinkFault::Resets, LinkFault::Silent,
-									LinkFault::CutsAnswers};
-	Backend& backend = *m_backends[m_backends.size() - 1 - drawn(kBackends)];
-	const std::size_t disruption = disrupt("backend-link", std::nullopt, true);
-	backend.link->setFault(kFaults[drawn(kFaults.size())]);
-	later(drawnSpan(300 * kMillisecond, 3 * kSecond),
-		  [this, &backend, disruption]
-		  {
-			  backend.link->setFault(LinkFault::None);
-			  calmDown(disruption);
-		  });
+									LinkFault::DropsAnswers};
+	Backend& backend = *m_backends[m_backends.size() - 1 - drawIndex(kBackends)];
+	const std::size_t disruption = beginDisruption("backend-link", std::nullopt, true);
+	backend.link->setFault(kFaults[drawIndex(kFaults.size())]);
+	schedule(drawSpan(300 * kMillisecond, 3 * kSecond),
+			 [this, &backend, disruption]
+			 {
+				 backend.link->setFault(LinkFault::None);
+				 endDisruption(disruption);
+			 });
 }
 
 void Soak::leaveBackend()
@@ -212,7 +212,7 @@
 	};
 	Backend& backend = **std::find_if(m_backends.begin(), m_backends.end(), staying);
 	backend.leaving = true;
-	if (drawn(3) == 0)
+	if (drawIndex(3) == 0)
 	{
 		m_store->remove(platform::kServersPrefix + backend.id);
 	}
@@ -224,28 +224,28 @@
 	m_seen.departures.push_back({backend.id, monotonicNow()});
 }
 
-void Soak::injectOne()
+void Soak::injectFault()
 {
-	const auto number = static_cast<unsigned>(drawn(m_gateways.size()));
+	const auto number = static_cast<unsigned>(drawIndex(m_gateways.size()));
 	Gateway& gateway = *m_gateways[number];
-	const bool steady = !gateway.asked && !gateway.paused && gateway.process->running();
-	switch (drawn(12))
+	const bool isRunning = !gateway.stopRequested && !gateway.paused && gateway.process->running();
+	switch (drawIndex(12))
 	{
 	case 0:
-		steady ? killGateway(number) : void();
+		isRunning ? killGateway(number) : void();
 		break;
 	case 1:
 	case 2:
-		steady ? stopGateway(number) : void();
+		isRunning ? stopGateway(number) : void();
 		break;
 	case 3:
-		steady ? pauseGateway(number) : void();
+		isRunning ? pauseGateway(number) : void();
 		break;
 	case 4:
 		cutStore(number);
 		break;
 	case 5:
-		drawn(2) == 0 ? failStore() : lapseRecords();
+		drawIndex(2) == 0 ? failStore() : lapseRecords();
 		break;
 	case 6:
 		failBackend();
@@ -267,27 +267,28 @@
 
 void Soak::injectDeparture()
 {
-	const auto number = static_cast<unsigned>(drawn(m_gateways.size()));
+	const auto number = static_cast<unsigned>(drawIndex(m_gateways.size()));
 	const Gateway& gateway = *m_gateways[number];
-	const bool steady = !gateway.asked && !gateway.paused && gateway.process->running();
-	switch (drawn(16))
+	const bool isRunning = !gateway.stopRequested && !gateway.paused && gateway.process->running();
+	switch (drawIndex(16))
 	{
 	case 0:
-		gateway.cut ? void() : injectOne();
+		gateway.storeLinkFaulty ? void() : injectFault();
 		break;
 	case 1:
 	case 2:
 	case 3:
-		steady ? holdUpGateway(number) : void();
+		isRunning ? stallGateway(number) : void();
 		break;
 	case 4:
 	case 5:
 	case 6:
 	case 7:
-		gateway.cut ? void() : slowStore(number);
+		gateway.storeLinkFaulty ? void() : slowStore(number);
 		break;
 	case 8:
-		m_options.profile == SoakProfile::NarrowDepartures && !m_narrow ? narrowStore() : rotateKey();
+		m_options.profile == SoakProfile::NarrowDepartures && !m_bandwidthLimited ? limitStoreBandwidth()
+																				  : rotateKey();
 		break;
 	default:
 		leaveBackend();
--- a/tools/soak/soakquotas.cpp
+++ b/tools/soak/soakquotas.cpp
@@ -53,7 +53,7 @@
 }
 } // namespace
 
-bool Soak::limitsTeams() const
+bool Soak::hasTeamLimits() const
 {
 	return m_options.profile == SoakProfile::Quotas || m_options.profile == SoakProfile::LoweredQuotas;
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-void Soak::noteLimits(Micros _now)
+void Soak::recordLimits(Micros _now)
 {
 	for (const standin::SiteTeam& team : m_teams)
 	{
@@ -114,7 +114,7 @@
 {
 	for (const standin::SiteTeam& team : m_teams)
 	{
-		const double demand = kDemands[drawn(kDemands.size())];
+		const double demand = kDemands[drawIndex(kDemands.size())];
 		m_load->set({team.name, team.key, demand * requestsAtLimit(team), shapeOf(team).meanTokens});
 	}
 }
@@ -122,23 +122,23 @@
 void Soak::changeLimit()
 {
 	constexpr std::array kFactors = {0.4, 0.7, 1.0, 1.5};
-	standin::SiteTeam& team = m_teams[drawn(m_teams.size())];
-	team.ratePerSecond = kFactors[drawn(kFactors.size())] * shapeOf(team).ratePerSecond;
+	standin::SiteTeam& team = m_teams[drawIndex(m_teams.size())];
+	team.ratePerSecond = kFactors[drawIndex(kFactors.size())] * shapeOf(team).ratePerSecond;
 	team.burst = team.ratePerSecond;
 	const std::lock_guard<std::mutex> guard(m_mutex);
 	putConfig();
-	noteLimits(monotonicNow());
+	recordLimits(monotonicNow());
 }
 
 void Soak::lowerLimits()
 {
-	const double part = kLoweredTo[drawn(kLoweredTo.size())];
-	const std::size_t below = drawn(m_teams.size());
+	const double part = kLoweredTo[drawIndex(kLoweredTo.size())];
+	const std::size_t below = drawIndex(m_teams.size());
 	for (std::size_t index = 0; index < m_teams.size(); ++index)
 	{
 		const standin::SiteTeam& team = m_teams[index];
 		const double demand =
-			index == below ? kBelowLowered * part : kLoweredDemands[drawn(kLoweredDemands.size())];
+			index == below ? kBelowLowered * part : kLoweredDemands[drawIndex(kLoweredDemands.size())];
 		m_load->set({team.name, team.key, demand * requestsAtLimit(team), shapeOf(team).meanTokens});
 	}
 	runUntil(monotonicNow() + kBeforeLowered);
@@ -149,25 +149,25 @@
 	}
 	const std::lock_guard<std::mutex> guard(m_mutex);
 	putConfig();
-	noteLimits(monotonicNow());
+	recordLimits(monotonicNow());
 }
 
-void Soak::troubleLowered(Micros _until)
+void Soak::injectFaultsAfterLowering(Micros _until)
 {
 	while (monotonicNow() < _until)
 	{
-		injectQuotaTrouble();
-		runUntil(std::min(_until, monotonicNow() + drawnSpan(300 * kMillisecond, 3 * kSecond)));
+		injectQuotaFault();
+		runUntil(std::min(_until, monotonicNow() + drawSpan(300 * kMillisecond, 3 * kSecond)));
 	}
 }
 
-void Soak::standStill(double _share, Micros _span)
+void Soak::pauseGateways(double _share, Micros _span)
 {
 	std::vector<unsigned> numbers;
 	for (unsigned number = 0; number < m_gateways.size(); ++number)
 	{
 		const Gateway& gateway = *m_gateways[number];
-		if (!gateway.asked && !gateway.paused && gateway.process->running())
+		if (!gateway.stopRequested && !gateway.paused && gateway.process->running())
 		{
 			numbers.push_back(number);
 		}
@@ -178,46 +178,46 @@
 	for (const unsigned number : numbers)
 	{
 		m_gateways[number]->paused = true;
-		const std::size_t disruption = disrupt("pause", number);
+		const std::size_t disruption = beginDisruption("pause", number);
 		m_gateways[number]->process->signal(SIGSTOP);
-		later(_span,
-			  [this, number, disruption]
-			  {
-				  m_gateways[number]->paused = false;
-				  m_gateways[number]->process->signal(SIGCONT);
-				  calmDown(disruption);
-			  });
+		schedule(_span,
+				 [this, number, disruption]
+				 {
+					 m_gateways[number]->paused = false;
+					 m_gateways[number]->process->signal(SIGCONT);
+					 endDisruption(disruption);
+				 });
 	}
 }
 
-void Soak::injectQuotaTrouble()
+void Soak::injectQuotaFault()
 {
-	const auto number = static_cast<unsigned>(drawn(m_gateways.size()));
+	const auto number = static_cast<unsigned>(drawIndex(m_gateways.size()));
 	const Gateway& gateway = *m_gateways[number];
-	const bool steady = !gateway.asked && !gateway.paused && gateway.process->running();
-	switch (drawn(12))
+	const bool isRunning = !gateway.stopRequested && !gateway.paused && gateway.process->running();
+	switch (drawIndex(12))
 	{
 	case 0:
 	case 1:
-		standStill(0.3, drawnSpan(1500 * kMillisecond, 3 * kSecond));
+		pauseGateways(0.3, drawSpan(1500 * kMillisecond, 3 * kSecond));
 		break;
 	case 2:
-		standStill(0.5, drawnSpan(300 * kMillisecond, 1200 * kMillisecond));
+		pauseGateways(0.5, drawSpan(300 * kMillisecond, 1200 * kMillisecond));
 		break;
 	case 3:
-		standStill(1.0, drawnSpan(300 * kMillisecond, 2 * kSecond));
+		pauseGateways(1.0, drawSpan(300 * kMillisecond, 2 * kSecond));
 		break;
 	case 4:
 		m_options.profile == SoakProfile::Quotas ? changeLimit() : void();
 		break;
 	case 5:
-		steady ? killGateway(number) : void();
+		isRunning ? killGateway(number) : void();
 		break;
 	case 6:
-		steady ? stopGateway(number) : void();
+		isRunning ? stopGateway(number) : void();
 		break;
 	case 7:
-		injectOne();
+		injectFault();
 		break;
 	default:
 		changeLoad();
--- a/tools/soak/soakupgrade.cpp
+++ b/tools/soak/soakupgrade.cpp
@@ -16,7 +16,7 @@
 /// Share of the span with faults in which all gateways are upgraded; the rollback takes the rest.
 constexpr double kUpgradeShare = 0.6;
 constexpr Micros kRetry = 100 * kMillisecond;
-constexpr unsigned kTakenBackOneIn = 2;
+constexpr unsigned kRolledBackOneIn = 2;
 constexpr unsigned kKilledOneIn = 3;
 } // namespace
 
@@ -33,7 +33,7 @@
 	const double pause =
 		kUpgradeShare * static_cast<double>(m_options.span) / static_cast<double>(m_gateways.size());
 	m_upgrade.pause = static_cast<Micros>(pause);
-	later(m_upgrade.pause, [this] { upgradeNext(); });
+	schedule(m_upgrade.pause, [this] { upgradeNext(); });
 }
 
 void Soak::upgradeNext()
@@ -42,25 +42,25 @@
 	{
 		return;
 	}
-	const bool back = m_upgrade.next >= m_upgrade.order.size();
+	const bool rollBack = m_upgrade.next >= m_upgrade.order.size();
 	const std::size_t place = m_upgrade.next % m_upgrade.order.size();
 	const unsigned number = m_upgrade.order[place];
 	Gateway& gateway = *m_gateways[number];
-	const bool stays = back && place % kTakenBackOneIn != 0;
-	const bool steady = !gateway.asked && !gateway.paused && gateway.process->running();
-	if (!stays && !steady)
+	const bool stays = rollBack && place % kRolledBackOneIn != 0;
+	const bool isRunning = !gateway.stopRequested && !gateway.paused && gateway.process->running();
+	if (!stays && !isRunning)
 	{
-		later(kRetry, [this] { upgradeNext(); });
+		schedule(kRetry, [this] { upgradeNext(); });
 		return;
 	}
 	if (!stays)
 	{
-		gateway.process->setProgram(back ? m_options.oldProgram : m_options.program);
-		drawn(kKilledOneIn) == 0 ? killGateway(number) : stopGateway(number);
+		gateway.process->setProgram(rollBack ? m_options.oldProgram : m_options.program);
+		drawIndex(kKilledOneIn) == 0 ? killGateway(number) : stopGateway(number);
 		++m_upgrade.replaced;
 	}
 	++m_upgrade.next;
-	later(stays ? 0 : m_upgrade.pause, [this] { upgradeNext(); });
+	schedule(stays ? 0 : m_upgrade.pause, [this] { upgradeNext(); });
 }
 
 } // namespace beacongate::soak
