--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -74,7 +74,7 @@
 	std::string report;
 	options.directory = "soak-logs";
 	app.add_option("--seed", options.seed, "First seed [1]");
-	app.add_option("--seeds", seeds, "How many seeds, one after the other [1]")->check(CLI::Range(1u, 1000u));
+	app.add_option("--seeds", seeds, "Number of consecutive seeds to run [1]")->check(CLI::Range(1u, 1000u));
 	const std::map<std::string, soak::SoakProfile> profiles{
 		{"mixed", soak::SoakProfile::Mixed},
 		{"departures", soak::SoakProfile::Departures},
@@ -82,22 +82,22 @@
 		{"answers", soak::SoakProfile::Answers},
 		{"quotas", soak::SoakProfile::Quotas},
 		{"lowered-quotas", soak::SoakProfile::LoweredQuotas}};
-	app.add_option(
-		   "--profile", options.profile,
-		   "Which faults are drawn: mixed, departures, narrow-departures, answers, quotas or lowered-quotas "
-		   "[mixed]")
+	app.add_option("--profile", options.profile,
+				   "Faults to inject: mixed, departures, narrow-departures, answers, quotas or lowered-quotas "
+				   "[mixed]")
 		->transform(CLI::CheckedTransformer(profiles, CLI::ignore_case));
-	app.add_option("--gateways", options.gateways, "Gateways [3]")->check(CLI::Range(1u, soak::Soak::kMaxGateways));
-	app.add_option("--callers", options.callers, "Callers [6]")->check(CLI::Range(1u, 64u));
-	app.add_option("--seconds", seconds, "Span in which faults are injected [20]")->check(CLI::Range(1.0, 3600.0));
+	app.add_option("--gateways", options.gateways, "Number of gateways [3]")
+		->check(CLI::Range(1u, soak::Soak::kMaxGateways));
+	app.add_option("--callers", options.callers, "Number of callers [6]")->check(CLI::Range(1u, 64u));
+	app.add_option("--seconds", seconds, "Seconds in which faults are injected [20]")
+		->check(CLI::Range(1.0, 3600.0));
 	app.add_option("--gateway-program", options.program, "Path of beacongate-gateway")->required();
 	app.add_option(
 		"--old-program", options.oldProgram,
-		"Path of another build of it: all begin with it, are replaced one after the other, and half of them "
-		"is taken back");
-	app.add_option("--logs", options.directory,
-				   "Where settings and logs of seeds that failed are kept [soak-logs]");
-	app.add_option("--report", report, "Writes a page with plots of the last seed");
+		"Path of another build: all gateways start with it, are upgraded one after the other, and half of them "
+		"are rolled back");
+	app.add_option("--logs", options.directory, "Directory for settings and logs of failed seeds [soak-logs]");
+	app.add_option("--report", report, "Path of an HTML page with plots of the last seed");
 	CLI11_PARSE(app, _argc, _argv);
 	options.span = static_cast<Micros>(seconds * static_cast<double>(kSecond));
 	bool kept = true;
--- a/tools/soak/answercheck.cpp
+++ b/tools/soak/answercheck.cpp
@@ -113,7 +113,7 @@
 				_findings.push_back({Promise::LeavingHeard,
 									 "backend " + pair.second + " got " + arrival.seen->id + " " +
 										 millis(arrival.request->sent - announced->second) + " after gateway " +
-										 std::to_string(pair.first) + " had passed on that it leaves"});
+										 std::to_string(pair.first) + " had forwarded its announcement to leave"});
 			}
 		}
 	}
--- a/tools/soak/checker.cpp
+++ b/tools/soak/checker.cpp
@@ -102,12 +102,12 @@
 		}
 		if (!use.refusedUndisturbed.empty())
 		{
-			_findings.push_back({Promise::ServedBelowLimit,
-								 "team " + use.team + " was refused " +
-									 std::to_string(use.refusedUndisturbed.size()) +
-									 " requests while it asked for less than its limit and nothing was disturbed, "
-									 "the first " +
-									 use.refusedUndisturbed.front()});
+			_findings.push_back(
+				{Promise::ServedBelowLimit,
+				 "team " + use.team + " was refused " + std::to_string(use.refusedUndisturbed.size()) +
+					 " requests while it asked for less than its limit and no gateway was disturbed, "
+					 "the first " +
+					 use.refusedUndisturbed.front()});
 		}
 		asked += use.askedBelow;
 		refused += use.refusedBelow;
@@ -129,7 +129,7 @@
 		if (success && request.complete && !request.correct)
 		{
 			_findings.push_back(
-				{Promise::OwnWholeAnswer, "request " + request.id + " got another or a partial answer"});
+				{Promise::OwnWholeAnswer, "request " + request.id + " got a wrong or partial answer"});
 		}
 	}
 }
@@ -189,7 +189,7 @@
 			if (accepted && cut &&
 				_index.undisturbed(stop.gateway, request.sent - _seen.bounds.contact, request.ended, true))
 			{
-				_findings.push_back({Promise::PlannedStopCuts, "request " + request.id + " was cut " +
+				_findings.push_back({Promise::PlannedStopCuts, "request " + request.id + " was aborted " +
 																   millis(request.ended - stop.requested) +
 																   " after its gateway was asked to stop"});
 			}
@@ -286,7 +286,7 @@
 		{
 			_findings.push_back(
 				{Promise::ConfigNeverBack,
-				 "request " + request.id + " ran with a key that its gateway had known to be removed"});
+				 "request " + request.id + " ran with a key whose removal its gateway already knew"});
 		}
 	}
 }
@@ -300,8 +300,8 @@
 	{
 		if (counts.try_emplace(report.window, report.counts).first->second != report.counts)
 		{
-			_findings.push_back(
-				{Promise::OneReportAWindow, "window " + report.window + " was reported twice, differently"});
+			_findings.push_back({Promise::OneReportAWindow,
+								 "window " + report.window + " was reported twice with different counts"});
 		}
 		const bool another = holders.try_emplace(report.fence, report.holder).first->second != report.holder;
 		if (another || report.fence < highest)
--- a/tools/soak/report.cpp
+++ b/tools/soak/report.cpp
@@ -78,7 +78,7 @@
 		const std::string where = disruption.gateway ? " g" + std::to_string(*disruption.gateway + 1) : "";
 		rows[disruption.what + where].push_back(&disruption);
 	}
-	_page << "<h2>What was injected</h2>\n<svg width='" << kLeft + kWidth + 20 << "' height='"
+	_page << "<h2>Injected faults</h2>\n<svg width='" << kLeft + kWidth + 20 << "' height='"
 		  << kRowHeight * static_cast<double>(rows.size() + 1) << "'>\n";
 	double top = 0.0;
 	for (const auto& [name, disruptions] : rows)
--- a/tools/soak/soak.cpp
+++ b/tools/soak/soak.cpp
@@ -386,7 +386,7 @@
 		{
 			if (monotonicNow() > until)
 			{
-				throw Error(Failure::SettingInvalid, "a gateway does not get ready; see its log");
+				throw Error(Failure::SettingInvalid, "a gateway did not become ready in time; see its log");
 			}
 			std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
 		}
