--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -174,7 +174,7 @@
 				  [self = shared_from_this()](const std::optional<StoreContent>& _content)
 				  {
 					  self->m_probing = false;
-					  if (_content || self->m_probe->fault() == ChannelFault::TurnedAway)
+					  if (_content || self->m_probe->fault() == ChannelFault::CallRejected)
 					  {
 						  self->m_pace.onAnswered();
 					  }
@@ -210,7 +210,7 @@
 {
 	const Micros now = monotonicNow();
 	std::erase(m_reads, _reader);
-	if (_content || _reader->fault() == ChannelFault::TurnedAway)
+	if (_content || _reader->fault() == ChannelFault::CallRejected)
 	{
 		m_pace.onAnswered();
 	}
--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -79,10 +79,10 @@
 	}
 	else
 	{
-		const ChannelFault answered = tooManyRequests ? ChannelFault::Busy : ChannelFault::TurnedAway;
+		const ChannelFault answered = tooManyRequests ? ChannelFault::Busy : ChannelFault::CallRejected;
 		m_fault = _answer ? answered : m_channel->fault();
-		m_fault == ChannelFault::TurnedAway ? m_reachability.onReadRejected(requestedAt, now)
-											: m_reachability.onReadAbandoned(requestedAt, now);
+		m_fault == ChannelFault::CallRejected ? m_reachability.onReadRejected(requestedAt, now)
+											  : m_reachability.onReadAbandoned(requestedAt, now);
 	}
 	onPage(page);
 }
--- a/src/gateway/rangereader.h
+++ b/src/gateway/rangereader.h
@@ -44,7 +44,7 @@
 	}
 
 	/// @returns why the last read failed; to be called by its handler. An answer that is not a page counts as
-	/// TurnedAway.
+	/// CallRejected.
 	ChannelFault fault() const
 	{
 		return m_fault;
--- a/src/transport/httpchannel.cpp
+++ b/src/transport/httpchannel.cpp
@@ -25,11 +25,11 @@
 	{
 	case ChannelFault::None:
 		return "none";
-	case ChannelFault::Silent:
+	case ChannelFault::TimedOut:
 		return "silent";
 	case ChannelFault::Busy:
 		return "busy";
-	case ChannelFault::TurnedAway:
+	case ChannelFault::CallRejected:
 		return "turned-away";
 	}
 	return "unknown";
@@ -106,7 +106,7 @@
 			if (!_error && self && self->m_busy && self->m_callNumber == callNumber)
 			{
 				self->dropConnection();
-				self->fail(ChannelFault::Silent);
+				self->fail(ChannelFault::TimedOut);
 			}
 		});
 }
@@ -128,7 +128,7 @@
 			if (!_connection)
 			{
 				const bool beforeTimeout = std::chrono::steady_clock::now() < self->m_timer.expiry();
-				self->fail(beforeTimeout ? ChannelFault::TurnedAway : ChannelFault::Silent);
+				self->fail(beforeTimeout ? ChannelFault::CallRejected : ChannelFault::TimedOut);
 				return;
 			}
 			self->m_connection = _connection;
@@ -181,7 +181,7 @@
 	if (m_parser->fault() != ParseFault::None)
 	{
 		dropConnection();
-		fail(ChannelFault::TurnedAway);
+		fail(ChannelFault::CallRejected);
 		return;
 	}
 	const bool succeeded = m_parser->headDone() && m_parser->head().status == kOk;
@@ -241,7 +241,7 @@
 		connect();
 		return;
 	}
-	fail(ChannelFault::TurnedAway);
+	fail(ChannelFault::CallRejected);
 }
 
 void HttpChannel::fail(ChannelFault _fault)
--- a/src/transport/httpchannel.h
+++ b/src/transport/httpchannel.h
@@ -39,9 +39,9 @@
 enum class ChannelFault : std::uint8_t
 {
 	None,
-	Silent,     ///< The call timed out: the server may be slow or unreachable.
-	Busy,       ///< The server is healthy and accepts no further calls for now.
-	TurnedAway, ///< The connection failed or ended before the answer was complete, or the answer was malformed.
+	TimedOut,     ///< The call timed out: the server may be slow or unreachable.
+	Busy,         ///< The server is healthy and accepts no further calls for now.
+	CallRejected, ///< The connection failed or ended before the answer was complete, or the answer was malformed.
 };
 
 /// @returns a short name for logs.
