--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -43,7 +43,7 @@
 
 void Exchange::start()
 {
-	m_session->setGoneHandler(
+	m_session->setDisconnectHandler(
 		[weak = weak_from_this()]
 		{
 			if (const auto self = weak.lock())
--- a/src/transport/httpserver.cpp
+++ b/src/transport/httpserver.cpp
@@ -243,7 +243,7 @@
 		_session->exchange = 0;
 		if (_session->disconnected)
 		{
-			handlers.onGone(exchange);
+			handlers.onDisconnected(exchange);
 		}
 		_session->outbox.clear();
 	}
--- a/src/transport/httpserver.h
+++ b/src/transport/httpserver.h
@@ -25,7 +25,7 @@
 	/// sendChunk() and endStream().
 	std::function<void(ExchangeId, HttpRequest&&)> onRequest;
 	/// The client closed its connection before the answer was complete.
-	std::function<void(ExchangeId)> onGone;
+	std::function<void(ExchangeId)> onDisconnected;
 	/// Builds the answer to a malformed or too large request.
 	std::function<HttpAnswer(Failure, const std::string&)> onMalformed;
 };
--- a/src/transport/serversession.cpp
+++ b/src/transport/serversession.cpp
@@ -75,9 +75,9 @@
 	m_connection->start(std::move(handlers));
 }
 
-void ServerSession::setGoneHandler(std::function<void()> _onGone)
+void ServerSession::setDisconnectHandler(std::function<void()> _onDisconnected)
 {
-	m_onGone = std::move(_onGone);
+	m_onDisconnected = std::move(_onDisconnected);
 }
 
 void ServerSession::setDrainedHandler(std::function<void()> _onDrained)
@@ -89,7 +89,7 @@
 {
 	const RequestLimits limits = m_context->limits();
 	m_phase = Phase::Reading;
-	m_onGone = nullptr;
+	m_onDisconnected = nullptr;
 	m_onDrained = nullptr;
 	m_context->bufferedBytes -= m_bufferedBytes;
 	m_bufferedBytes = 0;
@@ -304,7 +304,7 @@
 	{
 		return;
 	}
-	m_onGone = nullptr;
+	m_onDisconnected = nullptr;
 	if (m_chunked)
 	{
 		m_connection->send("0\r\n\r\n");
@@ -338,7 +338,7 @@
 	{
 		return;
 	}
-	m_onGone = nullptr;
+	m_onDisconnected = nullptr;
 	m_connection->reset();
 	end();
 }
@@ -375,12 +375,12 @@
 	m_bufferedBytes = 0;
 	const auto self = shared_from_this();
 	m_context->sessions.erase(self);
-	const auto onGone = std::move(m_onGone);
-	m_onGone = nullptr;
+	const auto onDisconnected = std::move(m_onDisconnected);
+	m_onDisconnected = nullptr;
 	m_onDrained = nullptr;
-	if (onGone)
+	if (onDisconnected)
 	{
-		onGone();
+		onDisconnected();
 	}
 }
 
--- a/src/transport/serversession.h
+++ b/src/transport/serversession.h
@@ -58,7 +58,7 @@
 
 	/// Sets the handler for a client that disconnects before its answer is complete. The end of the answer clears
 	/// it.
-	void setGoneHandler(std::function<void()> _onGone);
+	void setDisconnectHandler(std::function<void()> _onDisconnected);
 
 	/// Sets the handler that is called when the system has accepted all bytes that were queued for sending.
 	void setDrainedHandler(std::function<void()> _onDrained);
@@ -114,7 +114,7 @@
 	std::string m_input;
 	std::string m_body;
 	std::size_t m_bufferedBytes = 0;
-	std::function<void()> m_onGone;
+	std::function<void()> m_onDisconnected;
 	std::function<void()> m_onDrained;
 	boost::asio::steady_timer m_timer;
 	Phase m_phase = Phase::Reading;
--- a/tests/httpservertest.cpp
+++ b/tests/httpservertest.cpp
@@ -68,7 +68,7 @@
 		{
 			m_server.send(_exchange, HttpAnswer{200, {}, "ok"});
 		};
-		handlers.onGone = [](ExchangeId) {
+		handlers.onDisconnected = [](ExchangeId) {
 		};
 		handlers.onMalformed = [](Failure, const std::string&)
 		{
--- a/tools/standin/engine.h
+++ b/tools/standin/engine.h
@@ -53,7 +53,7 @@
 	};
 
 	void onRequest(ExchangeId _exchange, HttpRequest&& _request);
-	void onGone(ExchangeId _exchange);
+	void onDisconnected(ExchangeId _exchange);
 	void accept(ExchangeId _exchange, const HttpRequest& _request);
 	void control(const std::string& _body);
 	HttpAnswer stats() const;
