--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -136,7 +136,7 @@
 	}
 	else
 	{
-		m_session->sendPiece(events);
+		m_session->sendBodyPart(events);
 	}
 	if (m_session->unsent() > limits::kUnsentBytes)
 	{
--- a/src/transport/serversession.cpp
+++ b/src/transport/serversession.cpp
@@ -280,7 +280,7 @@
 	m_connection->send(bytes);
 }
 
-void ServerSession::sendPiece(std::string_view _bytes)
+void ServerSession::sendBodyPart(std::string_view _bytes)
 {
 	if (m_phase != Phase::Answering)
 	{
--- a/src/transport/serversession.h
+++ b/src/transport/serversession.h
@@ -71,7 +71,7 @@
 	void startAnswer(unsigned _status, const HttpHeaders& _headers, std::string_view _firstBytes);
 
 	/// Appends bytes to a started answer.
-	void sendPiece(std::string_view _bytes);
+	void sendBodyPart(std::string_view _bytes);
 
 	/// Ends a started answer.
 	void finishAnswer();
--- a/tools/standin/platform.cpp
+++ b/tools/standin/platform.cpp
@@ -193,7 +193,7 @@
 void PlatformStore::sendRest(const ServerSessionPtr& _session, std::string _rest)
 {
 	const std::size_t piece = std::max<std::size_t>(1, m_readRate * kPieceInterval / kSecond);
-	_session->sendPiece(std::string_view(_rest).substr(0, piece));
+	_session->sendBodyPart(std::string_view(_rest).substr(0, piece));
 	_rest.erase(0, piece);
 	if (_rest.empty())
 	{
