--- a/src/transport/httpserver.cpp
+++ b/src/transport/httpserver.cpp
@@ -452,7 +452,7 @@
 	m_impl->enqueue(_exchange, AnswerPart{AnswerPart::Kind::End, HttpAnswer{200, std::move(_trailers), {}}});
 }
 
-void HttpServer::cut(ExchangeId _exchange)
+void HttpServer::abortAnswer(ExchangeId _exchange)
 {
 	m_impl->enqueue(_exchange, AnswerPart{AnswerPart::Kind::Abort, {}});
 }
--- a/src/transport/httpserver.h
+++ b/src/transport/httpserver.h
@@ -71,7 +71,7 @@
 	void endStream(ExchangeId _exchange, HttpHeaders _trailers);
 
 	/// Closes the connection without the terminating chunk, so that no client takes the answer as complete.
-	void cut(ExchangeId _exchange);
+	void abortAnswer(ExchangeId _exchange);
 
 private:
 	std::shared_ptr<HttpServerImpl> m_impl;
--- a/tools/standin/engine.cpp
+++ b/tools/standin/engine.cpp
@@ -200,7 +200,7 @@
 	}
 	if (0 < m_cutAfter && 0 == --m_cutAfter)
 	{
-		m_server.cut(_sequence.exchange);
+		m_server.abortAnswer(_sequence.exchange);
 		return true;
 	}
 	if (_sequence.next < _sequence.target)
--- a/tools/standin/service.cpp
+++ b/tools/standin/service.cpp
@@ -59,7 +59,7 @@
 	const std::uint64_t count = ++m_executions[key];
 	if (m_cut)
 	{
-		m_server.cut(_exchange);
+		m_server.abortAnswer(_exchange);
 		return;
 	}
 	const Json json{
--- a/tools/standin/store.cpp
+++ b/tools/standin/store.cpp
@@ -53,7 +53,7 @@
 	const bool own = "/standin" == _request.target;
 	if (StoreMode::Down == m_mode && !own)
 	{
-		m_server.cut(_exchange);
+		m_server.abortAnswer(_exchange);
 		return;
 	}
 	HttpAnswer answer;
@@ -71,7 +71,7 @@
 	}
 	if (StoreMode::Lose == m_mode && !own)
 	{
-		m_server.cut(_exchange);
+		m_server.abortAnswer(_exchange);
 		return;
 	}
 	if (0 == m_delay || own)
