--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -48,7 +48,7 @@
 void RangeReader::readPage(const std::string& _afterKey)
 {
 	ChannelRequest request = platform::rangeCall(m_prefix, _afterKey);
-	request.longest = m_pageTimeout;
+	request.maxDuration = m_pageTimeout;
 	request.onProgress = [this]
 	{
 		// The channel is closed before this reader is destroyed, and calls nothing afterwards.
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -160,7 +160,7 @@
 	}
 	ChannelRequest request;
 	request.target = std::string(kUpdatePath) + std::to_string(m_context.content.revision);
-	request.longest = kReadIdleTimeout;
+	request.maxDuration = kReadIdleTimeout;
 	const Micros requestedAt = monotonicNow();
 	m_relayChannel->call(std::move(request), kRelayTimeout,
 						 [self = shared_from_this(), requestedAt](const std::optional<HttpAnswer>& _answer)
@@ -212,7 +212,7 @@
 {
 	ChannelRequest request;
 	request.target = std::string(kContentPath);
-	request.longest = kReadIdleTimeout;
+	request.maxDuration = kReadIdleTimeout;
 	const Micros requestedAt = monotonicNow();
 	m_relayChannel->call(std::move(request), kRelayTimeout,
 						 [self = shared_from_this(), requestedAt](const std::optional<HttpAnswer>& _answer)
@@ -363,7 +363,7 @@
 	}
 	m_watching = true;
 	ChannelRequest request = platform::watchCall(platform::configKey(), m_context.directory.revision(), kWatchSpan);
-	request.longest = kWatchTimeout + kMaxReadDuration;
+	request.maxDuration = kWatchTimeout + kMaxReadDuration;
 	m_watchChannel->call(std::move(request), kWatchTimeout,
 						 [self = shared_from_this()](const std::optional<HttpAnswer>& _answer)
 						 {
--- a/src/gateway/storesyncpeers.cpp
+++ b/src/gateway/storesyncpeers.cpp
@@ -57,7 +57,7 @@
 	request.target = _fullContent ? std::string(kContentPath)
 								  : std::string(kUpdatePath) + std::to_string(m_context.content.revision);
 	request.headers = {{"Connection", "close"}};
-	request.longest = kMaxReadDuration;
+	request.maxDuration = kMaxReadDuration;
 	const Micros requestedAt = monotonicNow();
 	m_peerChannel->call(
 		std::move(request), kPeerTimeout,
--- a/src/transport/httpchannel.cpp
+++ b/src/transport/httpchannel.cpp
@@ -85,7 +85,8 @@
 		return;
 	}
 	++m_callNumber;
-	m_extensionEnd = std::chrono::steady_clock::now() + std::chrono::microseconds(m_queue.front().request.longest);
+	m_extensionEnd =
+		std::chrono::steady_clock::now() + std::chrono::microseconds(m_queue.front().request.maxDuration);
 	armTimer();
 	m_reused = m_connection && !m_connection->closed();
 	if (m_reused)
--- a/src/transport/httpchannel.h
+++ b/src/transport/httpchannel.h
@@ -30,7 +30,7 @@
 	std::string body;
 	/// While bytes of the answer keep arriving, the call's timeout restarts until this time has passed since the
 	/// call was started; 0 never restarts it.
-	Micros longest = 0;
+	Micros maxDuration = 0;
 	/// Called whenever bytes of an answer with status 200 have arrived; may be empty.
 	std::function<void()> onProgress;
 };
@@ -63,7 +63,7 @@
 
 	/// Queues a call; it is sent once the earlier calls have ended. The handler never runs inside this function.
 	/// @param[in] timeout Timeout of the call. It starts when the call reaches the head of the queue, and restarts
-	/// whenever bytes of its answer arrive until the request's `longest` has passed.
+	/// whenever bytes of its answer arrive until the request's `maxDuration` has passed.
 	void call(ChannelRequest _request, Micros _timeout, Handler _handler, MaySend _maySend = nullptr);
 
 	/// @returns true if bytes of the answer to the current call have arrived.
--- a/tests/httpchanneltest.cpp
+++ b/tests/httpchanneltest.cpp
@@ -46,7 +46,7 @@
 	{
 		ChannelRequest request;
 		request.target = "/kv-range?pathPrefix=";
-		request.longest = _maxDuration;
+		request.maxDuration = _maxDuration;
 		std::promise<bool> complete;
 		m_loop.run(
 			[&]
