--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -48,7 +48,7 @@
 void RangeReader::readPage(const std::string& _afterKey)
 {
 	ChannelRequest request = platform::rangeCall(m_prefix, _afterKey);
-	request.longest = m_pageTimeout;
+	request.maxDuration = m_pageTimeout;
 	request.onProgress = [this]
 	{
 		// The channel is closed before this reader is destroyed, and calls nothing afterwards.
@@ -79,10 +79,10 @@
 	}
 	else
 	{
-		const ChannelFault answered = tooManyRequests ? ChannelFault::Busy : ChannelFault::TurnedAway;
+		const ChannelFault answered = tooManyRequests ? ChannelFault::Busy : ChannelFault::CallRejected;
 		m_fault = _answer ? answered : m_channel->fault();
-		m_fault == ChannelFault::TurnedAway ? m_reachability.onReadRejected(requestedAt, now)
-											: m_reachability.onReadAbandoned(requestedAt, now);
+		m_fault == ChannelFault::CallRejected ? m_reachability.onReadRejected(requestedAt, now)
+											  : m_reachability.onReadAbandoned(requestedAt, now);
 	}
 	onPage(page);
 }
--- a/src/transport/serversession.h
+++ b/src/transport/serversession.h
@@ -58,7 +58,7 @@
 
 	/// Sets the handler for a client that disconnects before its answer is complete. The end of the answer clears
 	/// it.
-	void setGoneHandler(std::function<void()> _onGone);
+	void setDisconnectHandler(std::function<void()> _onDisconnected);
 
 	/// Sets the handler that is called when the system has accepted all bytes that were queued for sending.
 	void setDrainedHandler(std::function<void()> _onDrained);
@@ -71,7 +71,7 @@
 	void startAnswer(unsigned _status, const HttpHeaders& _headers, std::string_view _firstBytes);
 
 	/// Appends bytes to a started answer.
-	void sendPiece(std::string_view _bytes);
+	void sendBodyPart(std::string_view _bytes);
 
 	/// Ends a started answer.
 	void finishAnswer();
@@ -100,9 +100,9 @@
 	void onBytes(std::string_view _bytes);
 	void parse();
 	void onHead();
-	void refuse(const HttpAnswer& _answer);
+	void rejectRequest(const HttpAnswer& _answer);
 	void onTimer();
-	void armTimer(Micros _span);
+	void armTimer(Micros _timeout);
 	void nextRequest();
 	void end();
 	std::string formatHead(unsigned _status, const HttpHeaders& _headers, bool _keepAlive) const;
@@ -113,8 +113,8 @@
 	std::unique_ptr<MessageParser> m_parser;
 	std::string m_input;
 	std::string m_body;
-	std::size_t m_counted = 0;
-	std::function<void()> m_onGone;
+	std::size_t m_bufferedBytes = 0;
+	std::function<void()> m_onDisconnected;
 	std::function<void()> m_onDrained;
 	boost::asio::steady_timer m_timer;
 	Phase m_phase = Phase::Reading;
@@ -123,7 +123,7 @@
 	bool m_noBody = false;
 	bool m_chunked = false;
 	bool m_keepAlive = true;
-	bool m_expectHandled = false;
+	bool m_headHandled = false;
 };
 
 /// Accepts connections and starts a session for each.
--- a/tools/soak/answercheck.cpp
+++ b/tools/soak/answercheck.cpp
@@ -65,7 +65,7 @@
 	for (const Arrival& backoff : _arrivals)
 	{
 		const Micros from = backoff.seen->at + _seen.bounds.inFlightSpan;
-		const Micros until = backoff.seen->at + backoff.seen->backoffAsked;
+		const Micros until = backoff.seen->at + backoff.seen->requestedBackoff;
 		const auto arrived =
 			std::count_if(_arrivals.begin(), _arrivals.end(),
 						  [&](const Arrival& _other) { return _other.seen->at > from && _other.seen->at < until; });
@@ -73,7 +73,7 @@
 		{
 			_findings.push_back({Promise::BackoffKept, "backend " + _pair.second + " asked gateway " +
 														   std::to_string(_pair.first) + " for " +
-														   millis(backoff.seen->backoffAsked) + " and got " +
+														   millis(backoff.seen->requestedBackoff) + " and got " +
 														   std::to_string(arrived) + " requests in that time"});
 		}
 	}
--- a/tools/soak/soakfaults.cpp
+++ b/tools/soak/soakfaults.cpp
@@ -131,7 +131,7 @@
 	const std::size_t disruption = beginDisruption("store", std::nullopt);
 	if (drawIndex(4) == 0)
 	{
-		m_store->forgetHistory();
+		m_store->compactHistory();
 		endDisruption(disruption);
 		return;
 	}
