--- a/src/coordination/capacityplanner.cpp
+++ b/src/coordination/capacityplanner.cpp
@@ -259,14 +259,14 @@
 	// Running servers are kept before new ones are started.
 	for (const std::string& name : names)
 	{
-		const unsigned kept = std::min(_missing, _zones.at(name).onDemand);
-		counts[name] = kept;
-		_missing -= kept;
+		const unsigned keptServers = std::min(_missing, _zones.at(name).onDemand);
+		counts[name] = keptServers;
+		_missing -= keptServers;
 	}
 	for (const std::string& name : names)
 	{
-		const unsigned taken = _zones.at(name).spot + counts[name];
-		const unsigned room = _scaling.maximum - std::min(_scaling.maximum, taken);
+		const unsigned planned = _zones.at(name).spot + counts[name];
+		const unsigned room = _scaling.maximum - std::min(_scaling.maximum, planned);
 		const unsigned added = std::min(_missing, room);
 		counts[name] += added;
 		_missing -= added;
--- a/src/coordination/demandmeter.cpp
+++ b/src/coordination/demandmeter.cpp
@@ -27,12 +27,12 @@
 void DemandMeter::onArrival(const std::string& _service, double _prefillSeconds, double _holdSeconds,
 							unsigned _slots)
 {
-	const double held = _holdSeconds / static_cast<double>(std::max(1u, _slots));
+	const double slotSeconds = _holdSeconds / static_cast<double>(std::max(1u, _slots));
 	Service& entry = m_services[_service];
 	entry.ownWork += _prefillSeconds;
 	entry.work.added += _prefillSeconds;
-	entry.ownOccupied += held;
-	entry.occupied.added += held;
+	entry.ownOccupied += slotSeconds;
+	entry.occupied.added += slotSeconds;
 }
 
 void DemandMeter::onCall(const std::string& _service, Micros _duration, unsigned _slots)
--- a/src/coordination/entryrequests.cpp
+++ b/src/coordination/entryrequests.cpp
@@ -141,8 +141,8 @@
 	if (0.0 < service.drainRate)
 	{
 		const double ahead = service.queue.costAhead(_request.team, team.weight) / service.drainRate;
-		const double left = static_cast<double>(_request.deadline - m_now) / static_cast<double>(kSecond);
-		if (ahead > left)
+		const double secondsLeft = static_cast<double>(_request.deadline - m_now) / static_cast<double>(kSecond);
+		if (ahead > secondsLeft)
 		{
 			fail(_request, Failure::DeadlineTooShort, Outcome::NotRun, "the queue is longer than the deadline");
 			return;
--- a/src/coordination/overloadpolicy.h
+++ b/src/coordination/overloadpolicy.h
@@ -5,8 +5,8 @@
 /// Decides whether a request that no backend server can take now waits or is refused, and when its caller may
 /// retry.
 
-#ifndef BEACONGATE_COORDINATION_ROOMPOLICY_H
-#define BEACONGATE_COORDINATION_ROOMPOLICY_H
+#ifndef BEACONGATE_COORDINATION_OVERLOADPOLICY_H
+#define BEACONGATE_COORDINATION_OVERLOADPOLICY_H
 
 #include "coordination/backofftable.h"
 
@@ -60,10 +60,11 @@
 	{
 		return _soon;
 	}
-	const Micros left = _all.earliestEnd - _now;
-	return std::max(_soon, left + static_cast<Micros>(static_cast<double>(left) * kSpreadShare * _spread));
+	const Micros remaining = _all.earliestEnd - _now;
+	return std::max(_soon,
+					remaining + static_cast<Micros>(static_cast<double>(remaining) * kSpreadShare * _spread));
 }
 
 } // namespace beacongate
 
-#endif // BEACONGATE_COORDINATION_ROOMPOLICY_H
+#endif // BEACONGATE_COORDINATION_OVERLOADPOLICY_H
--- a/src/coordination/quotaledger.cpp
+++ b/src/coordination/quotaledger.cpp
@@ -126,8 +126,8 @@
 	{
 		return 0.0;
 	}
-	const double left = std::min(1.0, static_cast<double>(stored->second) / _team.burst);
-	return kInitialUsageFactor * _team.ratePerSecond * (1.0 - left);
+	const double storedShare = std::min(1.0, static_cast<double>(stored->second) / _team.burst);
+	return kInitialUsageFactor * _team.ratePerSecond * (1.0 - storedShare);
 }
 
 std::map<std::string, std::uint64_t> QuotaLedger::levels(Micros _now) const
@@ -237,8 +237,8 @@
 {
 	const double others = _team.rate.others(m_liveness.lastHeard());
 	const double meanDelay = kMeanReportAge * propagationSeconds();
-	// Half of the estimate is enough for a team that is refused nothing here. With the whole of it, a team at 0.6
-	// of its limit was refused up to 3 in 1,000 requests as a third of the gateways resumed from a stall
+	// Half of the estimate is enough for a team of which no request is refused here. With the whole of it, a team
+	// at 0.6 of its limit was refused up to 3 in 1,000 requests as a third of the gateways resumed from a stall
 	// (quotastalltest).
 	const double overLimit =
 		std::clamp((_team.rate.demandRatio(0.0, _now) - 1.0) / (kOverLimitRatio - 1.0), 0.0, 1.0);
@@ -306,15 +306,15 @@
 		return false;
 	}
 	const double span = propagationSeconds();
-	const double here = takenRecently(_team, _now);
-	// What all may use before their reports reach each other, if the others have used nothing of it yet.
-	const double all = std::max(0.0, _availability.level) + here + _team.bucket.rate() * span;
-	const double part = kMaxFairShares * all / static_cast<double>(m_liveness.members());
+	const double usedHere = takenRecently(_team, _now);
+	// What all gateways may use before their reports reach each other, if the others have used nothing of it yet.
+	const double usableByAll = std::max(0.0, _availability.level) + usedHere + _team.bucket.rate() * span;
+	const double maxShare = kMaxFairShares * usableByAll / static_cast<double>(m_liveness.members());
 	// Requests differ in size, so a large one is admitted if nothing else was recently. Measured by its own size
 	// alone, four large ones were admitted at each gateway.
 	const double mean = _team.rate.meanAmount();
 	const double few = std::max(kFewRequests * mean, _amount + mean);
-	return here + _amount > std::max(part, few);
+	return usedHere + _amount > std::max(maxShare, few);
 }
 
 QuotaVerdict QuotaLedger::take(const std::string& _team, double _amount, Micros _now, Micros _waited)
@@ -343,8 +343,8 @@
 	const bool isLargeFleet = GossipPlan::usesCollectors(m_liveness.members()) && !availability.isolated;
 	const double creditBefore = team.admissionCredit;
 	team.admissionCredit += isLargeFleet ? admittedShare(team, availability.level, _amount, _now) : 0.0;
-	// Any request is admitted while something is left, and the excess is owed. A bucket that is nearly empty would
-	// otherwise admit small requests and never a large one.
+	// Any request is admitted while something is left, and the excess becomes a debt of the bucket. A bucket that
+	// is nearly empty would otherwise admit small requests and never a large one.
 	bool passes = isLargeFleet ? team.admissionCredit >= 1.0 : availability.level > 0.0;
 	if (passes && _waited < kMaxReportWait && exceedsFairShare(team, availability, _amount, _now))
 	{
@@ -442,8 +442,8 @@
 	{
 		if (team.bucket.limited())
 		{
-			const double all = team.rate.others(m_liveness.lastHeard()) + team.rate.own(_now);
-			views.push_back({name, team.bucket.level(_now), team.takenHere, all});
+			const double usedByAll = team.rate.others(m_liveness.lastHeard()) + team.rate.own(_now);
+			views.push_back({name, team.bucket.level(_now), team.takenHere, usedByAll});
 		}
 	}
 	return views;
--- a/src/coordination/quotaledgerreports.cpp
+++ b/src/coordination/quotaledgerreports.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// The part of the quota ledger that takes in the reports of other gateways.
+// The part of the quota ledger that records the reports of other gateways.
 
 #include "coordination/quotaledger.h"
 #include "coordination/quotaledger_p.h"
@@ -72,8 +72,8 @@
 
 bool QuotaLedger::isBelowLimit(const Team& _team, Micros _now) const
 {
-	const double all = _team.rate.others(m_liveness.lastHeard()) + _team.rate.own(_now);
-	return !isOverLimit(_team, _now) && all < kBelowLimitShare * _team.bucket.rate();
+	const double usedByAll = _team.rate.others(m_liveness.lastHeard()) + _team.rate.own(_now);
+	return !isOverLimit(_team, _now) && usedByAll < kBelowLimitShare * _team.bucket.rate();
 }
 
 void QuotaLedger::recordGap(Micros _now)
@@ -136,7 +136,7 @@
 		_team.bucket.record(byOwnUsage, _now);
 		return;
 	}
-	// Grants bound the usage of a team whose requests are granted one by one, so its rate of before applies.
+	// Grants bound the usage of a team whose requests are granted one by one, so its previous rate applies.
 	const bool usePriorRate = isGranted(_team, _team.rate.meanAmount()) && isBelowLimit(_team, _now);
 	const double byPriorRate = _team.rate.others(m_liveness.lastHeard()) * secondsOf(_span) * _share;
 	// The usage is spread over the time. When it was recorded as of now, teams below their limits were refused for
--- a/src/coordination/storereachability.h
+++ b/src/coordination/storereachability.h
@@ -4,8 +4,8 @@
 /// @file
 /// Distinguishes a store that answers slowly from one that is unreachable.
 
-#ifndef BEACONGATE_COORDINATION_STORECONTACT_H
-#define BEACONGATE_COORDINATION_STORECONTACT_H
+#ifndef BEACONGATE_COORDINATION_STOREREACHABILITY_H
+#define BEACONGATE_COORDINATION_STOREREACHABILITY_H
 
 #include "beacongate/types.h"
 
@@ -46,7 +46,7 @@
 	void onReadRejected(Micros _asked, Micros _now);
 
 	/// Notes that a read was abandoned without an answer. This proves nothing: after a stall of this process,
-	/// the timeout fires before an answer is read that has arrived already. When it was taken for proof, 14
+	/// the timeout fires before an answer is read that has arrived already. When it counted as an outage, 14
 	/// requests reached a server that had left, in one of 25 soaks with a slow store.
 	void onReadAbandoned(Micros _asked, Micros _now);
 
@@ -110,4 +110,4 @@
 
 } // namespace beacongate
 
-#endif // BEACONGATE_COORDINATION_STORECONTACT_H
+#endif // BEACONGATE_COORDINATION_STOREREACHABILITY_H
--- a/src/gateway/gossiper.cpp
+++ b/src/gateway/gossiper.cpp
@@ -290,8 +290,8 @@
 
 std::vector<QuotaLevel> Gossiper::levelsFor(const std::string& _host, Micros _now) const
 {
-	const bool young = m_context.peers.startedWithin(_host, QuotaLedger::kStartupSpan);
-	return young ? m_context.quotas.levelsToReport(_now) : std::vector<QuotaLevel>();
+	const bool recentlyStarted = m_context.peers.startedWithin(_host, QuotaLedger::kStartupSpan);
+	return recentlyStarted ? m_context.quotas.levelsToReport(_now) : std::vector<QuotaLevel>();
 }
 
 bool Gossiper::isCollector() const
@@ -388,12 +388,12 @@
 
 void Gossiper::watchCollectors(Micros _now)
 {
-	const auto heard = [this](const std::string& _host)
+	const auto lastHeard = [this](const std::string& _host)
 	{
 		const auto peer = m_context.peers.peers().find(_host);
 		return peer == m_context.peers.peers().end() ? kLongAgo : peer->second.heard;
 	};
-	for (const std::string& host : m_watch.takeSilent(_now, heard, m_collectors))
+	for (const std::string& host : m_watch.takeSilent(_now, lastHeard, m_collectors))
 	{
 		m_context.relays.onSilent(host);
 		logEvent(LogLevel::Info, "collector-silent", {{"host", host}});
--- a/src/gateway/rangereader.cpp
+++ b/src/gateway/rangereader.cpp
@@ -100,13 +100,13 @@
 	}
 	for (const KvItem& item : _page->items)
 	{
-		KvItem& kept = m_content.items[item.key];
-		kept = item;
+		KvItem& stored = m_content.items[item.key];
+		stored = item;
 		if (platform::backendIdOf(item) && item.value.size() > limits::kBackendRecordBytes)
 		{
 			// Another writer may store a megabyte under each key. Without its value the record is refused just the
 			// same, and neither memory nor the updates for other gateways grow.
-			kept.value.clear();
+			stored.value.clear();
 		}
 	}
 	if (_page->more && !_page->items.empty())
--- a/src/protocol/query.cpp
+++ b/src/protocol/query.cpp
@@ -109,10 +109,10 @@
 
 bool meetsCondition(const Json& _row, const Condition& _condition)
 {
-	const std::string left = _row.contains(_condition.column) ? asText(_row[_condition.column]) : "";
-	const std::optional<double> a = asNumber(left);
+	const std::string cell = _row.contains(_condition.column) ? asText(_row[_condition.column]) : "";
+	const std::optional<double> a = asNumber(cell);
 	const std::optional<double> b = asNumber(_condition.value);
-	const int order = a && b ? (*a < *b ? -1 : (*a > *b ? 1 : 0)) : left.compare(_condition.value);
+	const int order = a && b ? (*a < *b ? -1 : (*a > *b ? 1 : 0)) : cell.compare(_condition.value);
 	switch (_condition.compare)
 	{
 	case Compare::Equal:
--- a/src/state/roster.cpp
+++ b/src/state/roster.cpp
@@ -188,9 +188,9 @@
 	}
 	Roster next = _roster;
 	next.version += 1;
-	const RosterMember left = *member;
+	const RosterMember departing = *member;
 	removeRun(next, _entry);
-	next.departed.push_back(DepartedMember{left});
+	next.departed.push_back(DepartedMember{departing});
 	return next;
 }
 
@@ -218,9 +218,9 @@
 	}
 	Roster next = _roster;
 	next.version += 1;
-	const RosterMember gone = *run;
+	const RosterMember lostMember = *run;
 	removeRun(next, _entry);
-	recordLost(next, gone);
+	recordLost(next, lostMember);
 	return next;
 }
 
