--- a/include/beacongate/config.h
+++ b/include/beacongate/config.h
@@ -46,7 +46,7 @@
 {
 	std::string name;
 	ServiceKind kind = ServiceKind::Plain;
-	bool repeatable = false; ///< Whether a request may be sent again after it may have run.
+	bool repeatable = false; ///< A request may be sent again after it may have run.
 	Micros targetFirstToken = 1500 * kMillisecond;
 };
 
@@ -59,8 +59,8 @@
 	std::string vm;
 	std::string dataCentre;
 	std::uint32_t slots = 8;    ///< Concurrent attempts that one entry runs on it.
-	bool drained = false;       ///< Taken out of service by operators; it gets no new requests.
-	bool checksFencing = false; ///< Whether it checks the fencing token of a leader's order.
+	bool drained = false;       ///< Operators took it out of service; it gets no new requests.
+	bool checksFencing = false; ///< It checks the fencing token of a leader's order.
 };
 
 /// One version of the whole configuration.
--- a/include/beacongate/limits.h
+++ b/include/beacongate/limits.h
@@ -33,7 +33,9 @@
 inline constexpr Micros kDefaultDeadline = 120 * kSecond;     ///< Deadline where the caller gives none.
 inline constexpr Micros kMaxDeadline = kSecond * 3600;        ///< Largest deadline; a longer one is cut to it.
 inline constexpr Micros kPeerCallTimeout = 1 * kSecond;       ///< Timeout of a message between entries.
-inline constexpr Micros kClaimTimeout = 3 * kSecond;          ///< Claim requests are resent for this long.
+/// Claim requests and attachments are resent for this long. Each message with tokens from the executor restarts the
+/// time of an attachment.
+inline constexpr Micros kClaimTimeout = 3 * kSecond;
 inline constexpr Micros kSealRetry = 200 * kMillisecond;      ///< First delay before a seal is resent; doubles.
 inline constexpr Micros kSealRetryMax = 10 * kSecond;         ///< Largest delay before a seal is resent.
 inline constexpr Micros kClaimWindow = kSecond * 24 * 3600;   ///< Time for which a claimed key is kept.
--- a/include/beacongate/routing.h
+++ b/include/beacongate/routing.h
@@ -21,7 +21,7 @@
 
 namespace beacongate
 {
-/// Whether requests of a route may be repeated, and the form of its answers.
+/// Kind of a route: states if its requests may be repeated, and the form of its answers.
 enum class RouteKind
 {
 	Safe,   ///< A request may run more than once.
--- a/include/beacongate/types.h
+++ b/include/beacongate/types.h
@@ -82,7 +82,7 @@
 	bool operator==(const EntryRef&) const = default;
 };
 
-/// Outcome of a request that the caller is told with its final answer.
+/// Outcome of a request, which its final answer reports to the caller.
 enum class Outcome
 {
 	Done,    ///< It ran; the answer is the result.
--- a/src/coordination/balancer.h
+++ b/src/coordination/balancer.h
@@ -117,7 +117,7 @@
 		m_manyGateways = _many;
 	}
 
-	/// Removes the loads of peers that sent no report lately; to be called several times a second.
+	/// Removes the loads of peers that sent no report recently. Must be called several times a second.
 	void expirePeerLoads(Micros _now);
 
 	/// @returns this gateway's own load, to be reported to its peers.
--- a/src/coordination/collectormonitor.h
+++ b/src/coordination/collectormonitor.h
@@ -17,7 +17,7 @@
 
 namespace beacongate
 {
-/// Tracks since when each contacted collector owes an answer.
+/// Tracks since when each contacted collector has not answered.
 class CollectorMonitor
 {
 public:
--- a/src/coordination/drainbudget.h
+++ b/src/coordination/drainbudget.h
@@ -28,12 +28,12 @@
 	/// Age at which the list is read separately. Regular reads confirm it every 0.8 s at the latest, which is
 	/// less than this age with the smallest bound in use, 2 s: no separate read is needed then.
 	Micros listReadAge;
-	/// Delay after which the list is read a second time while the first read has brought nothing.
+	/// Delay after which the list is read a second time while the first read has delivered nothing.
 	Micros secondReadDelay;
 	/// Silence after which the store counts as unreachable. An answer that takes this long, plus the wait of
 	/// kListReadInterval for the next read, still gives a list no older than `maxListAge`: every faster store
-	/// keeps the gateway supplied, once ListReadPace reads at that interval. A slower store cannot be told from
-	/// one that is down.
+	/// keeps the gateway supplied, once ListReadPace reads at that interval. A slower store cannot be
+	/// distinguished from one that is down.
 	Micros storeTimeout;
 	/// Greatest age of a list by which requests are sent while the store is reachable.
 	Micros maxListAge;
--- a/src/coordination/entryclaims.cpp
+++ b/src/coordination/entryclaims.cpp
@@ -91,7 +91,7 @@
 	m_byClaimNumber.erase(_request.claimNumber);
 	if (_request.repeatable)
 	{
-		// For a repeatable request the claim only avoids duplicate work, so it runs without one.
+		// For a repeatable request the claim only avoids duplicate work, so the request runs without one.
 		enqueue(_request);
 		return;
 	}
@@ -331,7 +331,7 @@
 	const std::uint64_t known = request->tokens.size();
 	if (_message.offset > known)
 	{
-		return; // A message was lost; the next resend asks from the missing token.
+		return; // A message was lost; the next resend requests the missing tokens.
 	}
 	for (std::uint64_t ii = known - _message.offset; ii < _message.tokens.size(); ++ii)
 	{
@@ -368,7 +368,7 @@
 	}
 	if (_message.answer.model && _message.tokenCount != request->tokens.size())
 	{
-		return; // Tokens were lost; the next resend asks for them.
+		return; // Tokens were lost; the next resend requests them.
 	}
 	request->answer = std::move(_message.answer);
 	conclude(*request, ExecutionResult::Done);
--- a/src/coordination/fleetliveness.h
+++ b/src/coordination/fleetliveness.h
@@ -17,15 +17,15 @@
 
 namespace beacongate
 {
-/// Whether this gateway's view of the others is current.
+/// State of this gateway's contact with the other gateways.
 enum class FleetContact
 {
 	Established, ///< Most of the others have been heard recently.
-	Resuming,    ///< This process has just resumed from a stall, and the answers to its reports are on their way.
+	Resuming,    ///< This process has just resumed from a stall, and the answers to its reports are in flight.
 	Lost,        ///< Most of the others are silent.
 };
 
-/// Keeps which sources sent reports or sums, and how recent these provably were.
+/// Records which sources sent reports or sums, and how recent these provably were.
 /// @remarks A report proves the state of its sender at the time of the message of this gateway that it answers, not
 /// at the time when it is read. Datagrams that waited in a socket during a stall of this process, or were delayed,
 /// prove nothing about the present. The same rule covers a gateway that stalls, one that receives nothing, one that
@@ -59,7 +59,7 @@
 
 	/// Records a report of a source.
 	/// @param[in] _confirmedAt Time at which this gateway sent the message that the report answers.
-	/// @param[in] _gateways Number of gateways that the source speaks for.
+	/// @param[in] _gateways Number of gateways that the source's reports cover.
 	void onHeard(const std::string& _source, Micros _now, Micros _confirmedAt, std::size_t _gateways);
 
 	/// Records sums of a collector.
@@ -83,7 +83,7 @@
 	/// which no source was heard; else nothing.
 	std::optional<Micros> unreportedSince(const std::string& _source, Micros _now) const;
 
-	/// @returns the share of all gateways that the source speaks for.
+	/// @returns the share of all gateways that the source's reports cover.
 	double gatewayShareOf(const std::string& _source) const;
 
 	/// @returns the number of gateways that are not known to be silent, including this one.
@@ -95,7 +95,7 @@
 	/// @returns the usage that was reserved for a source while it was silent, in seconds of a team's full rate.
 	double reservedRateSeconds(const std::string& _source, Micros _now) const;
 
-	/// @returns whether this gateway's view of the others is current.
+	/// @returns the state of this gateway's contact with the others.
 	FleetContact contact(Micros _now) const;
 
 	/// @returns true if this process has resumed from a stall within a span.
--- a/src/coordination/hometable.cpp
+++ b/src/coordination/hometable.cpp
@@ -11,9 +11,9 @@
 {
 namespace
 {
-/// Adopted rosters kept, to prove that a key's home did not change.
+/// Number of adopted rosters that are kept, to prove that a key's home did not change.
 constexpr std::size_t kMaxEpochs = 64;
-/// Versions newer than the one in force whose seals are kept.
+/// Number of roster versions newer than the one in force of which seals are kept.
 constexpr std::size_t kMaxEarlySealVersions = 16;
 } // namespace
 
--- a/src/coordination/peermessages.h
+++ b/src/coordination/peermessages.h
@@ -145,7 +145,7 @@
 {
 	std::uint64_t attach = 0;
 	ExecutionResult result = ExecutionResult::Unknown;
-	bool kept = false; ///< Whether the answer is available: in `answer` (plain) or as the tokens sent (model).
+	bool kept = false; ///< The answer is available: in `answer` (plain) or as the tokens sent (model).
 	KeptAnswer answer;
 	std::uint64_t tokenCount = 0; ///< Number of tokens of a model's answer, to detect lost messages.
 };
--- a/src/coordination/quotagrantor.h
+++ b/src/coordination/quotagrantor.h
@@ -20,8 +20,8 @@
 {
 /// Decides on grant requests by this gateway's ledger, which counts grants as this gateway's own usage, so that the
 /// other gateways learn of them from its reports.
-/// @remarks The rate of grant requests is bounded, whatever the team's demand is: each refusal tells the requester
-/// for how long to refuse without asking.
+/// @remarks The rate of grant requests is bounded, whatever the team's demand is: each refusal states for
+/// how long the requester refuses without asking.
 class QuotaGrantor
 {
 public:
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -211,7 +211,7 @@
 	/// Records a report of a peer.
 	/// @param[in] _confirmedAt Time at which this gateway sent the message that the peer has answered. The report
 	/// is at least as recent.
-	/// @param[in] _gateways Number of gateways that the peer speaks for.
+	/// @param[in] _gateways Number of gateways that the peer's report covers.
 	void onHeard(const std::string& _peer, Micros _now, Micros _confirmedAt, std::size_t _gateways = 1);
 
 	/// Records sums of a collector. Must be called after onReport() for the same message, instead of onHeard().
@@ -306,9 +306,9 @@
 	double reportLateness(Micros _now) const;
 	/// @returns the share of requests to admit in a large fleet, so that the usage that all gateways admit before
 	/// their reports reach each other fits into the level.
-	/// @remarks By the level alone, gateways admit everything and nothing by turns. A team that requested six times
-	/// its quota of 77 gateways then used 1.12 to 1.20 times its quota in 8 s; with this it used 1.04 to 1.07
-	/// (fleettabletest).
+	/// @remarks If only the level decided, gateways would alternate between admitting everything and nothing. A
+	/// team that requested six times its quota of 77 gateways then used 1.12 to 1.20 times its quota in 8 s; with
+	/// this it used 1.04 to 1.07 (fleettabletest).
 	double admittedShare(const Team& _team, double _level, double _amount, Micros _now) const;
 	/// @returns the estimated demand at all gateways per second.
 	double demand(const Team& _team, double _amount, Micros _now) const;
--- a/src/coordination/quotaledger_p.h
+++ b/src/coordination/quotaledger_p.h
@@ -18,7 +18,7 @@
 /// Mean age of a peer's last report, as a share of the propagation delay.
 inline constexpr double kMeanReportAge = 0.5;
 
-/// Longest wait that a refused caller is told.
+/// Longest retry delay that is reported to a refused caller.
 inline constexpr Micros kMaxWait = 5 * kSecond;
 
 } // namespace beacongate
--- a/src/coordination/retrybudget.h
+++ b/src/coordination/retrybudget.h
@@ -17,7 +17,7 @@
 public:
 	/// Retries that are allowed for each first attempt.
 	static constexpr double kRetriesPerAttempt = 0.2;
-	/// Retries that are allowed in a burst after a quiet time.
+	/// Largest number of unused retries that accumulate, and the number at the start.
 	static constexpr double kMaxBurst = 50.0;
 
 	/// Notes a first attempt.
--- a/src/daemon/calleradapter.h
+++ b/src/daemon/calleradapter.h
@@ -22,7 +22,7 @@
 class CallerAdapter
 {
 public:
-	/// State of the entry that callers are told in addition to their answers.
+	/// State of the entry that is reported to callers in addition to their answers.
 	struct EntryStatus
 	{
 		std::atomic<bool> healthy = false;
--- a/src/gateway/backendlistsync.cpp
+++ b/src/gateway/backendlistsync.cpp
@@ -128,7 +128,7 @@
 				 {{"cause", reachability.rejectsReads() ? "turned-away" : "silent"},
 				  {"silent_ms", millisText(reachability.silence(_now))},
 				  {"list_age_ms", millisText(m_context.directory.listAge(_now))}});
-		// The connections of these reads may be dead, and would keep later reads from starting.
+		// The connections of these reads may be broken, and would keep later reads from starting.
 		cancelReads();
 	}
 	if (reachability.idle(_now) > kProbeInterval)
--- a/src/gateway/backendlistsync.h
+++ b/src/gateway/backendlistsync.h
@@ -52,7 +52,7 @@
 	void waitWhileUnreachable(Micros _now);
 	bool mayStartRead(Micros _now) const;
 	/// Reads the list, or probes the store with a minimal read if this gateway may not read so much: a probe also
-	/// tells whether the store is reachable.
+	/// shows whether the store is reachable.
 	void startReadOrProbe(Micros _now);
 	void startRead(Micros _now);
 	void startProbe(Micros _now);
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -18,7 +18,7 @@
 {
 /// Time from the check of a key until the request runs.
 constexpr Micros kRevocationMargin = 300 * kMillisecond;
-/// An older configuration does not prove that a route or a key is absent.
+/// A configuration older than this does not prove that a route or a key is absent.
 constexpr Micros kMaxConfigAge = 1500 * kMillisecond;
 constexpr Micros kMinConnectTimeout = 60 * kMillisecond;
 constexpr Micros kMaxConnectTimeout = 300 * kMillisecond;
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -72,7 +72,7 @@
 		Micros listAge = 0; ///< Age of the list of backend servers when the request was sent.
 		ListingState listingState = ListingState::Gone; ///< State of the backend server in that list.
 		bool backoffProbe = false; ///< This is one of the few requests that a server gets after its backoff.
-		Micros backoffLeft = 0;    ///< What remained of the server's backoff when the request was sent.
+		Micros backoffLeft = 0;    ///< Remaining backoff of the server when the request was sent.
 		/// The request was not sent, for a reason that is not the backend server's fault.
 		bool withheld = false;
 		bool requestSent = false;
@@ -109,7 +109,7 @@
 	/// @returns the delay after which the caller of a refused request may retry.
 	Micros retryAfter(Micros _now);
 	/// Reports the result of a request that was one of the few after a backoff.
-	/// @param[in] _accepted Whether the backend server accepted the request.
+	/// @param[in] _accepted True if the backend server accepted the request.
 	void endBackoffProbe(bool _accepted);
 	void send(const KnownBackend& _backend);
 	/// @returns true if the request may be sent, now that the connection to the backend server is established.
--- a/src/gateway/exchangeanswers.cpp
+++ b/src/gateway/exchangeanswers.cpp
@@ -54,7 +54,8 @@
 	if (info.leaving && !info.misdirected)
 	{
 		// The header precedes the change of the server's record if the store is slow, and replaces it if the store
-		// is unreachable. A server that was reached by mistake speaks only for itself.
+		// is unreachable. If the request reached a wrong server, the header describes that server
+		// and not the chosen one.
 		m_context.directory.markDraining(m_attempt.backend, DepartureSource::Answer, monotonicNow());
 	}
 	if (info.backoffUnreadable)
--- a/src/gateway/gossiperreceive.cpp
+++ b/src/gateway/gossiperreceive.cpp
@@ -164,7 +164,7 @@
 Micros Gossiper::newCountsSpan(const std::string& _group, const std::string& _source, Micros _uptime) const
 {
 	// The previous collector has already reported what this one counted. If it were added as new, everything taken
-	// since the start of a young fleet would be counted twice: a level of -78 requests with a burst of 60 in a
+	// since the start of a new fleet would be counted twice: a level of -78 requests with a burst of 60 in a
 	// soak of 18 gateways.
 	return m_context.quotas.liveness().replacesAnother(_group, _source) ? kNever : _uptime;
 }
--- a/src/gateway/registration.cpp
+++ b/src/gateway/registration.cpp
@@ -13,8 +13,9 @@
 /// A gateway that ends without notice stays registered for this long. Meanwhile it keeps its share of quotas and
 /// of the retry budget, and its peers skip it because it is silent.
 constexpr Micros kLeaseSpan = 40 * kSecond;
-/// Two renewals may fail within the lease. Each renewal is a call to the store from every gateway: 20 a second
-/// with 295 of them.
+/// Jitter lengthens or shortens the interval by up to a quarter. When a renewal fails, at least half of the lease
+/// is left, in which the renewal is repeated after each kRetryInterval. Each renewal is a call to the store from
+/// every gateway: 20 a second with 295 of them.
 constexpr Micros kRenewInterval = 15 * kSecond;
 constexpr Micros kRetryInterval = 1 * kSecond;
 constexpr Micros kCallTimeout = 1 * kSecond;
--- a/src/gateway/requestinfo.h
+++ b/src/gateway/requestinfo.h
@@ -47,7 +47,7 @@
 	bool stamped = false;     ///< The answer carries the backend server's stamp.
 	bool encoded = false;     ///< The body has a content encoding.
 	bool leaving = false;     ///< The backend server accepts no new requests any more.
-	/// How long the backend server wants no requests; set if it rejected the request and gave a delay.
+	/// Backoff that the backend server requested; set if it rejected the request and gave a delay.
 	std::optional<Micros> backoff;
 	bool backoffUnreadable = false; ///< The delay has an unknown format.
 	std::string id;                 ///< Id of the request to which the answer belongs.
--- a/src/gateway/storesync.cpp
+++ b/src/gateway/storesync.cpp
@@ -20,7 +20,7 @@
 {
 namespace
 {
-/// Two of these are well within every bound on the delay of a change.
+/// Interval between reads. Two intervals are well below every bound on the delay of a change.
 constexpr Micros kReadInterval = 600 * kMillisecond;
 /// The relay is asked once the content has not been confirmed for this long. In a large fleet, peers confirm it
 /// more often.
--- a/src/state/backends.h
+++ b/src/state/backends.h
@@ -30,7 +30,7 @@
 {
 	BackendConfig config;
 	ServiceHandle service;
-	bool configured = false;         ///< Whether the configuration in force contains it.
+	bool configured = false;         ///< The configuration in force contains it.
 	bool leaving = false;            ///< It gets no new requests and does not return.
 	bool gone = false;               ///< Its VM has terminated; its attempts get no answers.
 	Micros leavesAt = kNever;        ///< End of its termination notice.
--- a/src/transport/httpserver.h
+++ b/src/transport/httpserver.h
@@ -21,10 +21,10 @@
 /// Callbacks of a server; they run on the loop's thread.
 struct HttpServerHandlers
 {
-	/// A complete request arrived. It may be answered at any later time, with send() or with startStream(),
-	/// sendChunk() and endStream().
+	/// Called when a complete request has arrived. It may be answered at any later time, with send() or with
+	/// startStream(), sendChunk() and endStream().
 	std::function<void(ExchangeId, HttpRequest&&)> onRequest;
-	/// The client closed its connection before the answer was complete.
+	/// Called when the client has closed its connection before the answer was complete.
 	std::function<void(ExchangeId)> onDisconnected;
 	/// Builds the answer to a malformed or too large request.
 	std::function<HttpAnswer(Failure, const std::string&)> onMalformed;
