--- a/tests/soakcheckertest.cpp
+++ b/tests/soakcheckertest.cpp
@@ -213,8 +213,8 @@
 TEST(SoakChecker, reportsATeamThatRunsMoreThanItsLimitInAnyWindow)
 {
 	EXPECT_EQ(countOf(limited(10), Promise::QuotaKept), 0u);
-	EXPECT_EQ(countOf(limited(12), Promise::QuotaKept), 0u) << "96 of 99 in 8 s";
-	EXPECT_EQ(countOf(limited(13), Promise::QuotaKept), 1u) << "104 of 99 in 8 s";
+	EXPECT_EQ(countOf(limited(12), Promise::QuotaKept), 0u) << "96 runs of 99 allowed in 8 s";
+	EXPECT_EQ(countOf(limited(13), Promise::QuotaKept), 1u) << "104 runs of 99 allowed in 8 s";
 }
 
 TEST(SoakChecker, countsRetriesAndTokens)
@@ -242,7 +242,7 @@
 	seen.limits.push_back({"small", 5.0, 5.0, false, 0.0, 30 * kSecond, kNever});
 	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 1u);
 	seen.disruptions = {{"pause", 31 * kSecond, 45 * kSecond, 1, false}};
-	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 0u) << "windows that begin at 50 s or later are too few";
+	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 0u) << "windows that begin at 50 s or later hold too few runs";
 }
 
 TEST(SoakChecker, aLowerLimitIsInForceOnceEachGatewayHasBeenSoundForLongEnough)
@@ -261,7 +261,7 @@
 	{
 		disruption.gateway = 0;
 	}
-	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 0u) << "that gateway may not know of the change";
+	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 0u) << "the disturbed gateway may not know of the change";
 }
 
 TEST(SoakChecker, reportsATeamRefusedBelowItsLimit)
@@ -272,16 +272,18 @@
 	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 1u);
 	const Micros sent = seen.requests[200].sent;
 	seen.disruptions = {{"pause", sent - kSecond, sent - kSecond / 2, 1, false}};
-	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 0u) << "one of 150 while a gateway has just stood still";
+	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 0u)
+		<< "one refusal of 150 requests shortly after a gateway was paused";
 	for (std::size_t number = 190; number < 200; ++number)
 	{
 		seen.requests[number].status = 429;
 	}
 	seen.disruptions = {{"pause", 0, kNever, 1, false}};
-	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 1u) << "eleven of 150 are too many whatever happens";
+	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 1u)
+		<< "eleven refusals of 150 requests exceed the share allowed under disruptions";
 	seen = limited(12);
 	seen.requests[400].status = 429;
-	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 0u) << "it asks for more than its limit";
+	EXPECT_EQ(countOf(seen, Promise::ServedBelowLimit), 0u) << "the team asks for more than its limit";
 }
 
 TEST(SoakChecker, reportsUnservedRequestsAfterwardsAndEndedProcesses)
