--- a/tests/soakcheckertest.cpp
+++ b/tests/soakcheckertest.cpp
@@ -245,7 +245,7 @@
 	EXPECT_EQ(countOf(seen, Promise::QuotaKept), 0u) << "windows that begin at 50 s or later hold too few runs";
 }
 
-TEST(SoakChecker, aLowerLimitIsInForceOnceEachGatewayHasBeenSoundForLongEnough)
+TEST(SoakChecker, appliesALowerLimitOnceEachGatewayWasUndisturbedForLongEnough)
 {
 	Observations seen = limited(10);
 	seen.limits[0].until = 30 * kSecond;
