--- a/tests/soakcheckertest.cpp
+++ b/tests/soakcheckertest.cpp
@@ -324,11 +324,11 @@
 	Observations seen = healthy();
 	seen.requests[10].backend = "w1";
 	seen.requests[10].announcesLeaving = true;
-	const Micros heard = seen.requests[10].ended;
+	const Micros announced = seen.requests[10].ended;
 	seen.arrivals = {{"r14", "w1", seen.requests[14].sent, 0}, {"r20", "w1", seen.requests[20].sent, 0}};
-	ASSERT_LT(seen.requests[14].sent, heard + seen.bounds.drain);
+	ASSERT_LT(seen.requests[14].sent, announced + seen.bounds.drain);
 	EXPECT_EQ(countOf(seen, Promise::LeavingHeard), 1u);
-	seen.disruptions = {{"store", heard, 60 * kSecond, std::nullopt}};
+	seen.disruptions = {{"store", announced, 60 * kSecond, std::nullopt}};
 	EXPECT_EQ(countOf(seen, Promise::LeavingHeard), 1u);
 	seen.requests[20].start = 2; // Another process does not know of the departure.
 	EXPECT_EQ(countOf(seen, Promise::LeavingHeard), 0u);
