--- a/tools/standin/engine.cpp
+++ b/tools/standin/engine.cpp
@@ -28,7 +28,7 @@
 	  m_server(_loop,
 			   HttpServerHandlers{[this](ExchangeId _id, HttpRequest&& _request)
 								  { onRequest(_id, std::move(_request)); },
-								  [this](ExchangeId _id) { onDisconnect(_id); },
+								  [this](ExchangeId _id) { onDisconnected(_id); },
 								  [](Failure _failure, const std::string& _detail)
 								  {
 									  return HttpAnswer{failureInfo(_failure).status, {}, _detail};
@@ -98,7 +98,7 @@
 	schedule();
 }
 
-void Engine::onDisconnect(ExchangeId _exchange)
+void Engine::onDisconnected(ExchangeId _exchange)
 {
 	const std::size_t before = m_sequences.size();
 	std::erase_if(m_sequences, [&](const Sequence& _sequence) { return _sequence.exchange == _exchange; });
--- a/tools/standin/engine.h
+++ b/tools/standin/engine.h
@@ -54,7 +54,7 @@
 	};
 
 	void onRequest(ExchangeId _exchange, HttpRequest&& _request);
-	void onDisconnect(ExchangeId _exchange);
+	void onDisconnected(ExchangeId _exchange);
 	void accept(ExchangeId _exchange, const HttpRequest& _request);
 	void control(const std::string& _body);
 	HttpAnswer stats() const;
--- a/tools/standin/platform.cpp
+++ b/tools/standin/platform.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 constexpr Micros kExpiryInterval = 20 * kMillisecond;
-constexpr Micros kPieceInterval = 20 * kMillisecond; ///< Interval between two pieces of a rate-limited answer.
+constexpr Micros kPartInterval = 20 * kMillisecond; ///< Interval between two parts of a rate-limited answer.
 constexpr std::size_t kHeaderBytes = 64u << 10;
 constexpr std::size_t kBodyBytes = 8u << 20;
 
@@ -188,27 +188,27 @@
 		return;
 	}
 	_session->startAnswer(_answer.status, _answer.headers, "");
-	sendRest(_session, _answer.body);
+	sendRemaining(_session, _answer.body);
 }
 
-void PlatformStore::sendRest(const ServerSessionPtr& _session, std::string _rest)
+void PlatformStore::sendRemaining(const ServerSessionPtr& _session, std::string _remaining)
 {
-	const std::size_t piece = std::max<std::size_t>(1, m_readRate * kPieceInterval / kSecond);
-	_session->sendBodyPart(std::string_view(_rest).substr(0, piece));
-	_rest.erase(0, piece);
-	if (_rest.empty())
+	const std::size_t partBytes = std::max<std::size_t>(1, m_readRate * kPartInterval / kSecond);
+	_session->sendBodyPart(std::string_view(_remaining).substr(0, partBytes));
+	_remaining.erase(0, partBytes);
+	if (_remaining.empty())
 	{
 		_session->finishAnswer();
 		return;
 	}
 	const auto timer = std::make_shared<asio::steady_timer>(m_loop.context());
-	timer->expires_after(std::chrono::microseconds(kPieceInterval));
+	timer->expires_after(std::chrono::microseconds(kPartInterval));
 	timer->async_wait(
-		[this, timer, _session, rest = std::move(_rest)](const BoostError& _error)
+		[this, timer, _session, remaining = std::move(_remaining)](const BoostError& _error)
 		{
 			if (!_error)
 			{
-				sendRest(_session, rest);
+				sendRemaining(_session, remaining);
 			}
 		});
 }
@@ -450,15 +450,15 @@
 			++lease;
 			continue;
 		}
-		std::vector<std::string> held;
+		std::vector<std::string> expiredKeys;
 		for (const auto& [key, item] : m_items)
 		{
 			if (item.lease == lease->first)
 			{
-				held.push_back(key);
+				expiredKeys.push_back(key);
 			}
 		}
-		for (const std::string& key : held)
+		for (const std::string& key : expiredKeys)
 		{
 			change(key, nullptr, 0);
 		}
--- a/tools/standin/platform.h
+++ b/tools/standin/platform.h
@@ -113,7 +113,7 @@
 
 	void onRequest(const ServerSessionPtr& _session, const IncomingRequest& _request);
 	void answerRead(const ServerSessionPtr& _session, const HttpAnswer& _answer);
-	void sendRest(const ServerSessionPtr& _session, std::string _rest);
+	void sendRemaining(const ServerSessionPtr& _session, std::string _remaining);
 	HttpAnswer range(const std::string& _prefix, const std::string& _after);
 	HttpAnswer transact(const std::string& _body);
 	HttpAnswer openLease(const std::string& _body);
