--- a/tools/standin.cpp
+++ b/tools/standin.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The beacongate authors.
 // Licence: BSD-2-Clause, see LICENSE.
 
-// Program beacongate-standin: small stand-ins of the platform, for the demo and tests by hand.
+// Program beacongate-standin: runs stand-ins for services of the platform, for the demo and for manual tests.
 
 #include "daemon/logging.h"
 #include "daemon/options.h"
@@ -35,10 +35,11 @@
 
 int main(int _argc, char** _argv)
 {
-	CLI::App app("Stand-ins of engines, services, store and VM list; tests only.", "beacongate-standin");
+	CLI::App app("Stand-ins for engines, services, the store, the VM list and the platform; tests only.",
+				 "beacongate-standin");
 	std::string kind;
 	std::string listen;
-	app.add_option("kind", kind, "What to stand in for")
+	app.add_option("kind", kind, "Service to simulate")
 		->required()
 		->check(CLI::IsMember({"engine", "service", "store", "cloud", "platform"}));
 	app.add_option("--listen", listen, "Address")->required();
