--- a/src/coordination/capacityplanner.cpp
+++ b/src/coordination/capacityplanner.cpp
@@ -12,14 +12,14 @@
 {
 // See docs/POLICY.md, round 6, for the measurements behind these constants.
 constexpr double kSpareFactor = 1.6; ///< Spare servers for each square root of the work, for a varying load.
-/// Spare servers on top: what a reclaim takes is replaced by servers elsewhere.
+/// Spare servers in addition to these, since servers in other data centres replace those that a reclaim takes.
 constexpr double kSpareServers = 2.0;
-/// Least spare share of the work: one of four data centres may be lost, and a little more.
+/// Smallest spare share of the work. It covers the loss of one of four data centres, and a little more.
 constexpr double kSpareShare = 0.4;
-/// As kSpareFactor, for the servers that are required at any price; with 0.8, a reclaim delays requests at
-/// once.
+/// Counterpart of kSpareFactor for the servers that are required at any price. With 0.8, a reclaim delays requests
+/// at once.
 constexpr double kRequiredFactor = 1.6;
-/// As kSpareServers, for the servers that are required at any price.
+/// Counterpart of kSpareServers for the servers that are required at any price.
 constexpr double kRequiredServers = 0.6;
 constexpr double kFirstShare = 0.4; ///< Share of the maximum that is ordered before any load is known.
 /// Interval at which an order is sent again that the platform has not accepted.
--- a/src/coordination/controlcore.cpp
+++ b/src/coordination/controlcore.cpp
@@ -13,7 +13,7 @@
 {
 namespace
 {
-/// Controls to which a change is sent at once. Each of them does the same, so n controls are reached
+/// Controls to which a change is sent at once. Each of them sends it on likewise, so n controls are reached
 /// after about log(n) / log(1 + kPropagationFanOut) rounds.
 constexpr std::size_t kPropagationFanOut = 3;
 /// Consecutive lists without a VM after which it counts as gone, since the list lags.
@@ -68,7 +68,8 @@
 		m_vmListNext = m_now + limits::kVmListInterval;
 		m_out->push_back(ReadVmList{});
 	}
-	// Not while a store operation for it is in flight, since its answer decides whether the change was made.
+	// A change does not expire while a store operation for it is in flight, since the answer decides whether the
+	// change was made.
 	while (!m_changes.empty() && m_now >= m_changes.front().deadline && !isChangeInFlight())
 	{
 		const bool mayBeApplied = m_changes.front().mayBeApplied;
--- a/src/coordination/controlstore.cpp
+++ b/src/coordination/controlstore.cpp
@@ -311,7 +311,8 @@
 		m_leaseRenewNext = m_now + limits::kLeaseTtl / kRenewalsPerLease;
 		return;
 	}
-	// Also if the answer was lost: the leader key is then bound to a lease that is not renewed, and expires.
+	// The lease is also given up if the answer was lost: the leader key may then be bound to this lease, which is
+	// not renewed, and expires with it.
 	m_lease = 0;
 	m_leaderReadNext = m_now + limits::kLeaseTtl;
 }
@@ -401,7 +402,7 @@
 	PendingChange& change = m_changes.front();
 	if (_event.value.modRevision == change.base)
 	{
-		// Not applied so far. The same swap is sent again; only one of the two can find this revision.
+		// The swap is not applied yet. The same swap is sent again; only one of the two can find this revision.
 		storeSwap(Purpose::SwapForChange, kConfigKey, change.base, change.edited.text, 0);
 		return;
 	}
--- a/src/coordination/entryhandover.cpp
+++ b/src/coordination/entryhandover.cpp
@@ -16,7 +16,7 @@
 {
 /// Interval between handover offers of a request that no entry has confirmed.
 constexpr Micros kOfferInterval = 500 * kMillisecond;
-/// Received handovers kept, to detect duplicates.
+/// Number of received handovers that are kept, to detect duplicates.
 constexpr std::size_t kMaxReceivedHandovers = 4096;
 } // namespace
 
@@ -57,7 +57,7 @@
 		}
 		return;
 	}
-	// Not executed here: the caller can reattach at any other entry.
+	// The request is not executed here: the caller can reattach at any other entry.
 	sendMoved(_request);
 	conclude(_request, ExecutionResult::NotStarted);
 }
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -145,8 +145,8 @@
 	/// of them.
 	std::vector<QuotaLevel> levelsToReport(Micros _now) const;
 
-	/// Takes in the levels of a gateway that has been running for long. Only a gateway that has just started does
-	/// so, and only once.
+	/// Adopts the levels of a gateway that has been running for long. Only a gateway that has just started adopts
+	/// levels, and only once.
 	/// @remarks Without this, a gateway that is restarted alone divides the stored level of a bucket as if all
 	/// gateways had been restarted, and for seconds refuses a team that is below its limit.
 	void adoptLevels(const std::vector<QuotaLevel>& _levels, Micros _now);
@@ -218,7 +218,7 @@
 	/// @param[in] _group Names the gateways that the sums cover. One collector of each group is followed at a time.
 	/// @param[in] _source Names the collector, as in onReport().
 	/// @remarks If the collector changes, the usage between the last sums of the old one and the first of the new
-	/// one is in no increase, and is estimated from the rate. When it was taken for 0, 13 gateways whose two
+	/// one is in no increase, and is estimated from the rate. When it was assumed to be 0, 13 gateways whose two
 	/// collectors were killed assumed 0.9 s of a team's rate more than 15 others did, and admitted two thirds of
 	/// the usage of all 87 gateways while the team requested three times its limit.
 	void onSums(const std::string& _group, const std::string& _source, Micros _now, Micros _confirmedAt,
--- a/src/gateway/dutyholder.cpp
+++ b/src/gateway/dutyholder.cpp
@@ -17,7 +17,7 @@
 constexpr Micros kRenewInterval = 600 * kMillisecond;
 constexpr Micros kStoreTimeout = 700 * kMillisecond;
 constexpr Micros kDutyTimeout = 1 * kSecond;
-/// After a window's end: time for counts that are still in transit.
+/// Time after a window's end, or after the duties were acquired, for counts that are still in transit.
 constexpr Micros kCountsSettleTime = 1200 * kMillisecond;
 /// A backend server is counted for this long after its record vanished.
 constexpr Micros kVanishedRecordSpan = 2 * kSecond;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -340,7 +340,7 @@
 	{
 		m_duties->shutdown();
 	}
-	// Lets the last bytes of answers leave.
+	// The loop runs on for a short time, so that the last bytes of answers are sent.
 	m_stopTimer.expires_after(std::chrono::microseconds(kStopPollInterval * 2));
 	m_stopTimer.async_wait([this](const boost::system::error_code& /*error*/) { m_context.loop.stop(); });
 }
--- a/src/state/prefixindex.cpp
+++ b/src/state/prefixindex.cpp
@@ -39,7 +39,7 @@
 
 void PrefixIndex::insert(const BlockChain& _chain)
 {
-	// Last block first, so that a chain's tail is evicted before its head.
+	// The last block is inserted first, so that a chain's tail is evicted before its head.
 	for (auto it = _chain.rbegin(); _chain.rend() != it; ++it)
 	{
 		const auto known = m_blocks.find(*it);
--- a/src/transport/forwarding.cpp
+++ b/src/transport/forwarding.cpp
@@ -20,7 +20,7 @@
 	"Transfer-Encoding", "Trailer",    "Upgrade",          "Content-Length",
 };
 
-/// Not forwarded, because the gateway answers Expect itself.
+/// Header that is not forwarded, because the gateway answers Expect itself.
 constexpr std::string_view kExpect = "Expect";
 
 bool isHopByHop(std::string_view _name)
