--- a/src/coordination/controlcore.h
+++ b/src/coordination/controlcore.h
@@ -4,7 +4,7 @@
 /// @file
 /// Decision core of a control: configuration, roster, leadership of a data centre, VM list.
 ///
-/// Deterministic like EntryCore. One store operation is in flight at a time. A document of the store is
+/// It is deterministic like EntryCore. One store operation is in flight at a time. A document of the store is
 /// adopted only if it is newer than the one in force, and cached documents are never written back.
 
 #ifndef BEACONGATE_COORDINATION_CONTROLCORE_H
--- a/src/coordination/demandmeter.h
+++ b/src/coordination/demandmeter.h
@@ -43,7 +43,7 @@
 	/// Counts a completed call of a plain service.
 	void onCall(const std::string& _service, Micros _duration, unsigned _slots);
 
-	/// Takes in the demand that a peer reports.
+	/// Records the demand that a peer reports.
 	void onReport(const std::string& _peer, std::uint64_t _incarnation, const DemandReport& _report);
 
 	/// Updates the averages. Must be called several times a second.
--- a/src/coordination/dutylease.h
+++ b/src/coordination/dutylease.h
@@ -2,7 +2,7 @@
 // Licence: BSD-2-Clause, see LICENSE.
 
 /// @file
-/// Tells whether this gateway may act as the duty holder towards the platform.
+/// Decides whether this gateway may act as the duty holder towards the platform.
 
 #ifndef BEACONGATE_COORDINATION_DUTYLEASE_H
 #define BEACONGATE_COORDINATION_DUTYLEASE_H
--- a/src/coordination/fleettable.h
+++ b/src/coordination/fleettable.h
@@ -35,9 +35,9 @@
 class CounterGrowth
 {
 public:
-	/// Takes in a counter's value.
-	/// @param[in] _fromZero Applies to a run that was not known before: true if the run is so young that its
-	/// counters are counted from 0; false if their first values are the baseline.
+	/// Records a counter's value.
+	/// @param[in] _fromZero Applies to a run that was not known before: true if the run started so recently that
+	/// its counters are counted from 0; false if their first values are the baseline.
 	/// @returns the increase since the last value.
 	double increase(const std::string& _source, std::uint64_t _incarnation, const std::string& _counter,
 					double _value, bool _fromZero);
@@ -71,11 +71,11 @@
 	/// quotas look back over.
 	static constexpr Micros kYoungRunUptime = TokenBucket::kHistory;
 
-	/// Takes in a report of a gateway of this data centre, including this one.
+	/// Records a report of a gateway of this data centre, including this one.
 	/// @returns true if its counters were accepted. The first report of a run must contain all of its counters.
 	bool onReport(const GossipMessage& _report, Micros _now);
 
-	/// Takes in the sums of another data centre.
+	/// Records the sums of another data centre.
 	/// @returns true if they came from the collector that is currently followed for it. The sums of any other are
 	/// ignored, so that nothing is counted twice.
 	bool onDataCentreSums(const GossipMessage& _sums, Micros _now);
--- a/src/coordination/listreadpace.h
+++ b/src/coordination/listreadpace.h
@@ -15,7 +15,7 @@
 /// Paces the reads of the list. A store that answers slowly is read every kListReadInterval, so that the next
 /// list arrives before the last one is too old. A store that has not answered yet may be down, for all gateways
 /// at once: it is read again after a quarter of the bound on departures and then after twice as long each time,
-/// which still keeps the list young enough if answers take half of the bound. With a read every 0.25 s instead,
+/// which still keeps the list recent enough if answers take half of the bound. With a read every 0.25 s instead,
 /// 295 gateways made 3,600 more calls in two outages.
 class ListReadPace
 {
--- a/src/coordination/overloadpolicy.h
+++ b/src/coordination/overloadpolicy.h
@@ -24,7 +24,7 @@
 	bool mayHaveRun = false; ///< It may have run there.
 };
 
-/// What happens to the request.
+/// Decision on the request.
 enum class OverloadDecision
 {
 	Wait,
--- a/src/coordination/quotaadmission.h
+++ b/src/coordination/quotaadmission.h
@@ -99,7 +99,7 @@
 	/// Returns the quota of a request that was admitted but did not run.
 	void refund(QuotaTicket& _ticket, const std::string& _team, double _amount, Micros _now);
 
-	/// Takes in a grantor's answer.
+	/// Handles a grantor's answer.
 	void onAnswer(const std::string& _host, const QuotaGrantAnswer& _answer, Micros _now);
 
 	/// @returns the grantor failures since the last call, for the log.
--- a/src/coordination/quotaledger.h
+++ b/src/coordination/quotaledger.h
@@ -85,7 +85,7 @@
 	std::string team;
 	Micros gap = 0;           ///< Time between two reports.
 	double taken = 0.0;       ///< Amount admitted in that time.
-	double levelBefore = 0.0; ///< Level of the bucket before the second report was taken in.
+	double levelBefore = 0.0; ///< Level of the bucket before the second report was recorded.
 };
 
 /// Decisions on a team's requests at this gateway in a span in which some were refused.
@@ -119,8 +119,8 @@
 	/// Time after a start, other than the system's first, until this gateway has received the usage of all others.
 	static constexpr Micros kStartupSpan = 3 * kSecond;
 
-	/// Sets whether this is the first start of the system. A gateway that starts later does not know the usage of
-	/// before, so it begins with a part of the stored level of a team's bucket, or with an empty one.
+	/// Sets whether this is the first start of the system. A gateway that starts later does not know the earlier
+	/// usage, so it begins with a part of the stored level of a team's bucket, or with an empty one.
 	void setFirstStart(bool _firstStart)
 	{
 		m_firstStart = _firstStart;
@@ -202,9 +202,9 @@
 	/// Refunds the amount of a request that was admitted but did not run.
 	void refund(const std::string& _team, double _amount, Micros _now);
 
-	/// Takes in a peer's usage. Must be called before onHeard() for the same message.
+	/// Records a peer's usage. Must be called before onHeard() for the same message.
 	/// @param[in] _incarnation Run of the peer, whose counters begin at 0.
-	/// @param[in] _uptime Time since the start of the peer. All usage of a young peer is recent.
+	/// @param[in] _uptime Time since the start of the peer. All usage of a peer that started recently is recent.
 	void onReport(const std::string& _peer, std::uint64_t _incarnation, const QuotaReport& _report, Micros _now,
 				  Micros _uptime = kNever);
 
@@ -327,7 +327,7 @@
 	/// @param[in] _share Share of all gateways that the sums are for.
 	void recordUnreported(Team& _team, double _share, Micros _span, Micros _now) const;
 	/// Records usage during a long gap between two reports, for the log. Must be called before the second one is
-	/// taken in.
+	/// recorded.
 	void recordGap(Micros _now);
 	/// Starts a bucket for a limit that this gateway did not know before.
 	void startLimit(Team& _team, const TeamAccess& _access, Micros _now) const;
@@ -344,7 +344,7 @@
 	std::vector<QuotaGap> m_gaps;    ///< At most one for each team between two calls of takeGaps().
 	Micros m_started = kNever;       ///< Time of the first configuration.
 	bool m_firstStart = true;
-	bool m_levelsAdopted = false; ///< Levels were taken in from another gateway.
+	bool m_levelsAdopted = false; ///< Levels were adopted from another gateway.
 };
 
 } // namespace beacongate
--- a/src/coordination/stalldetector.h
+++ b/src/coordination/stalldetector.h
@@ -17,7 +17,7 @@
 class StallDetector
 {
 public:
-	/// Notes the present time; to be called more often than once in _longest while the process runs.
+	/// Notes the present time. Must be called more often than once in _longest while the process runs.
 	/// @param[in] _longest Longest span between two calls while the process runs.
 	/// @returns true if the process was stalled until now.
 	bool onTick(Micros _now, Micros _longest)
--- a/src/coordination/storereachability.h
+++ b/src/coordination/storereachability.h
@@ -17,8 +17,8 @@
 /// Combines the results of all reads of the store. A gateway that cannot reach the store continues with the
 /// content that it has, however old; one that can reach it must not. A single read without an answer in time
 /// therefore proves nothing. The store counts as unreachable if it rejected reads repeatedly, or if no read
-/// received anything for as long as an answer would still be useful. With a single silent read of 0.4 s taken
-/// for an outage, 46 to 123 of 7,500 requests reached servers that had left (eight gateway processes, answers
+/// received anything for as long as an answer would still be useful. With a single silent read of 0.4 s treated
+/// as an outage, 46 to 123 of 7,500 requests reached servers that had left (eight gateway processes, answers
 /// after 0.4 to 1.1 s, servers that leave every 0.7 s).
 class StoreReachability
 {
@@ -56,7 +56,7 @@
 	/// Resets the findings about the store, since the content was obtained from another source.
 	void resetFindings();
 
-	/// Checks how long the reads have waited; to be called right after onProcessStalled().
+	/// Checks how long the reads have waited. Must be called right after onProcessStalled().
 	/// @returns true if the store is unreachable, from now on until something is received.
 	bool isUnreachable(Micros _now)
 	{
--- a/src/coordination/streamlengths.h
+++ b/src/coordination/streamlengths.h
@@ -15,7 +15,7 @@
 
 namespace beacongate
 {
-/// Learns the mean number of events of a route's streams, and the time between two events of a service's
+/// Estimates the mean number of events of a route's streams, and the time between two events of a service's
 /// engines that are not overloaded.
 /// @remarks The time between events is a low quantile. Where too few engines run, events come slowly for that
 /// reason, and a load derived from the held slots would then grow with each missing engine. The low quantile
--- a/src/coordination/usageledger.h
+++ b/src/coordination/usageledger.h
@@ -54,7 +54,7 @@
 		++m_counts[{_window, m_self, _team}];
 	}
 
-	/// Takes in a count that a run, or another gateway on its behalf, has reported.
+	/// Records a count that a run, or another gateway on its behalf, has reported.
 	void onReport(const GatewayRun& _run, const UsageCount& _report)
 	{
 		if (_run == m_self || _report.window + kRetainedWindows < m_newest)
--- a/src/coordination/usagerate.h
+++ b/src/coordination/usagerate.h
@@ -17,7 +17,7 @@
 /// Decaying averages of the usage at all gateways and of the requests that are refused here.
 /// @remarks The others' usage decays by the times of their reports, not by the clock: while no report arrives, the
 /// others are assumed to continue as before. If it decayed by the clock, a gateway that resumes from a stall would
-/// take the team for an idle one.
+/// treat the team as idle.
 class UsageRate
 {
 public:
--- a/src/daemon/calleradapter.h
+++ b/src/daemon/calleradapter.h
@@ -37,7 +37,7 @@
 
 	/// Passes a request to the core, or answers it with an error.
 	void onRequest(ExchangeId _exchange, HttpRequest&& _request);
-	/// Tells the core that the caller has closed its connection.
+	/// Notifies the core that the caller has closed its connection.
 	void onDisconnected(ExchangeId _exchange);
 	/// @returns the answer to a request that the server could not parse.
 	HttpAnswer onMalformed(Failure _failure, const std::string& _detail) const;
--- a/src/daemon/entryapp.h
+++ b/src/daemon/entryapp.h
@@ -33,8 +33,8 @@
 	std::string dataCentre;
 	Address listen;                   ///< For callers.
 	Address internal;                 ///< For the control process, other entries, operators and metric scrapers.
-	Micros stopGrace = 2 * kSecond;   ///< For which requests are still accepted after a stop was requested.
-	Micros stopNotice = 30 * kSecond; ///< After which a planned stop ends at the latest.
+	Micros stopGrace = 2 * kSecond;   ///< Time for which requests are accepted after a stop request.
+	Micros stopNotice = 30 * kSecond; ///< Time after which a planned stop ends at the latest.
 	std::uint64_t seed = 1;
 };
 
--- a/src/gateway/backendlistsync.h
+++ b/src/gateway/backendlistsync.h
@@ -42,7 +42,7 @@
 
 	void schedule(Micros _span);
 	void check();
-	/// Handles a list that is young enough: nothing has to be read.
+	/// Handles a list that is recent enough: nothing has to be read.
 	void onListFresh(Micros _age);
 	/// Logs that the store is reachable again, or that the list came from another gateway.
 	void onStoreReachable(Micros _age);
--- a/src/gateway/gatewaymetrics.h
+++ b/src/gateway/gatewaymetrics.h
@@ -58,7 +58,7 @@
 	void onSent(const std::string& _service, Micros _listAge, ListingState _listingState);
 
 	/// Records that a request waits for a newer list of backend servers.
-	/// @param[in] _again Whether the request was counted before.
+	/// @param[in] _again True if the request was counted before.
 	void onHeldForList(bool _again)
 	{
 		m_heldForList += _again ? 0 : 1;
@@ -83,7 +83,7 @@
 	}
 
 	/// Records that a request was sent.
-	/// @param[in] _inBackoff Whether the backend server's backoff had not ended.
+	/// @param[in] _inBackoff True if the backend server's backoff had not ended.
 	void onSentInBackoff(bool _inBackoff)
 	{
 		m_sentInBackoff += _inBackoff ? 1 : 0;
--- a/src/gateway/rangereader.h
+++ b/src/gateway/rangereader.h
@@ -43,8 +43,8 @@
 		return m_channel->receiving();
 	}
 
-	/// @returns why the last read failed; to be called by its handler. An answer that is not a page counts as
-	/// CallRejected.
+	/// @returns the reason why the last read failed. Must be called by its handler. An answer that is not a page
+	/// counts as CallRejected.
 	ChannelFault fault() const
 	{
 		return m_fault;
--- a/src/state/backends.h
+++ b/src/state/backends.h
@@ -64,7 +64,7 @@
 	/// @returns the handle of an id, or an invalid one.
 	BackendHandle find(const std::string& _id) const;
 
-	/// @returns number of rows, configured or not.
+	/// @returns the number of rows, configured or not.
 	std::size_t size() const;
 
 	/// @returns true if new attempts may be sent there at this time.
--- a/src/state/catalog.h
+++ b/src/state/catalog.h
@@ -49,7 +49,7 @@
 	const TeamRow& at(TeamHandle _team) const;
 	const ServiceRow& at(ServiceHandle _service) const;
 
-	/// @returns number of rows, configured or not.
+	/// @returns the number of rows, configured or not.
 	std::size_t teamCount() const;
 	std::size_t serviceCount() const;
 
